--- a/packages/scheduler/src/lib/duties/DutyRoster.ts
+++ b/packages/scheduler/src/lib/duties/DutyElector.ts
@@ -17,7 +17,7 @@
 import { DUTY_PREFIX, hostKey, HOSTS_PREFIX } from '../records/storeKeys.js'
 
 /** What does a duty while it is held. @public */
-export interface DutyTask {
+export interface DutyRunner {
   /** Works until closed. */
   run(): Promise<void>
   /** Stops at once. */
@@ -31,16 +31,16 @@
   readonly dutyKey: string
   readonly fencingToken: number
   /** Whether the duty is held at this moment; to be asked right before each act. */
-  readonly mayOrder: () => boolean
+  readonly holdsDuty: () => boolean
   /** To be called when another holder was seen. */
   readonly onDeposed: () => void
 }
 
 /** What the roster works with. @public */
-export interface DutyRosterOptions {
+export interface DutyElectorOptions {
   readonly hostName: string
   /** How much this host can bear, in cores; compared with the others'. */
-  readonly power: number
+  readonly capacityCores: number
   readonly store: KeyValueStore
   readonly clock: Clock
   readonly log: EventLog
@@ -67,11 +67,11 @@
 /** A duty without a holder, since this host saw that, and its luck in competing for it. */
 interface Vacancy { readonly sinceMs: number, readonly random: number }
 
-interface Duty { readonly holder: LeaseHolder, readonly stop: AbortController, readonly done: Promise<void>, task: DutyTask | undefined }
+interface Duty { readonly holder: LeaseHolder, readonly stop: AbortController, readonly done: Promise<void>, task: DutyRunner | undefined }
 
 /** The roster. @public */
-export class DutyRoster {
-  readonly #options: DutyRosterOptions
+export class DutyElector {
+  readonly #options: DutyElectorOptions
   readonly #replica: PrefixReplica
   readonly #duties = new Map<string, Duty>()
   readonly #vacancies = new Map<string, Vacancy>()
@@ -86,7 +86,7 @@
   #mostPower = 0
 
   /** @param options - what it works with */
-  constructor (options: DutyRosterOptions) {
+  constructor (options: DutyElectorOptions) {
     this.#options = options
     const { store, clock, log } = options
     this.#replica = createReplica(log, {
@@ -108,7 +108,7 @@
 
   /** @returns whether this host was there before, as strong as now: then the others are known too, and nothing is to be waited for */
   async #sayPower (): Promise<boolean> {
-    const { hostName, power, store, log } = this.#options
+    const { hostName, capacityCores: power, store, log } = this.#options
     const key = hostKey(hostName)
     const value = String(power)
     const before = await store.get(key)
@@ -120,7 +120,7 @@
 
   /** Hosts that left are counted too: at worst a duty is taken a little later. */
   async #learnPowers (): Promise<void> {
-    const { store, clock, log, power, records } = this.#options
+    const { store, clock, log, capacityCores: power, records } = this.#options
     const nowMs = clock.monotonicMs()
     if (nowMs - this.#powersReadMs < HOSTS_VALID_MS) return
     const listed = await store.list(HOSTS_PREFIX)
@@ -139,7 +139,7 @@
    * @param dutyKey - which
    * @param createTask - makes what does it, each time it is taken
    */
-  compete (dutyKey: string, createTask: (grant: DutyGrant) => DutyTask): void {
+  compete (dutyKey: string, createTask: (grant: DutyGrant) => DutyRunner): void {
     if (this.#duties.has(dutyKey) || this.#stop.signal.aborted) return
     const { store, clock, log, ttlMs, hostName } = this.#options
     const stop = new AbortController()
@@ -182,7 +182,7 @@
     }))
   }
 
-  #changeTenure (dutyKey: string, fencingToken: number | undefined, createTask: (grant: DutyGrant) => DutyTask): void {
+  #changeTenure (dutyKey: string, fencingToken: number | undefined, createTask: (grant: DutyGrant) => DutyRunner): void {
     const duty = this.#duties.get(dutyKey)
     if (duty === undefined) return
     duty.task?.close()
@@ -193,7 +193,7 @@
     duty.task = createTask({
       dutyKey,
       fencingToken,
-      mayOrder: () => duty.holder.grantAt(clock.latestMs())?.fencingToken === fencingToken,
+      holdsDuty: () => duty.holder.grantAt(clock.latestMs())?.fencingToken === fencingToken,
       onDeposed: () => {
         this.#notBeforeMs.set(dutyKey, clock.monotonicMs() + DEPOSED_PAUSE_MS)
         void duty.holder.abandon()
@@ -224,7 +224,7 @@
 
   /** What this host took meanwhile, or is about to take, lets the others go first. */
   #tryFromMs (dutyKey: string, { sinceMs, random }: Vacancy, nowMs: number): number {
-    const { power } = this.#options
+    const { capacityCores: power } = this.#options
     const isTrying = nowMs < this.#triedMs + TRY_MS
     const heldCount = this.heldCount + (isTrying ? 1 : 0)
     const waitMs = dutyWaitMs({ power, mostPower: this.#mostPower, heldCount, random })
--- a/packages/scheduler/src/lib/duties/ServiceScheduler.ts
+++ b/packages/scheduler/src/lib/duties/ServiceScheduler.ts
@@ -13,14 +13,14 @@
 import { accountsOf } from '../accounts/AccountDirectory.js'
 import { QuotaLedger } from '../accounts/QuotaLedger.js'
 import { AdviceBook } from '../workers/AdviceBook.js'
-import type { CommitLog, RecordSource } from '../records/CommitLog.js'
+import type { FencedBatchWriter, RecordEncoder } from '../records/FencedBatchWriter.js'
 import { createReplica } from '../records/createReplica.js'
 import type { EventLog } from './EventLog.js'
 import { CrashBook } from '../jobs/CrashBook.js'
 import { InboxReader } from '../jobs/InboxReader.js'
 import { encodeProgress } from '../jobs/jobProgress.js'
 import { MachineVacator } from '../machines/MachineVacator.js'
-import { openCommitLog } from '../records/openCommitLog.js'
+import { openFencedBatchWriter } from '../records/openFencedBatchWriter.js'
 import { RunBook } from '../jobs/RunBook.js'
 import { RunStarter } from '../jobs/RunStarter.js'
 import { RunTracker } from '../jobs/RunTracker.js'
@@ -28,7 +28,7 @@
 import { StatusWriter } from '../jobs/StatusWriter.js'
 import { SilentWorkers } from '../workers/SilentWorkers.js'
 import { cancelKey, chainKey, goneKey, inboxPrefix, jobKey, progressKey, progressPrefix, silentWorkersKey } from '../records/storeKeys.js'
-import { untilAnswered } from '../records/untilAnswered.js'
+import { retryUntilAnswered } from '../records/retryUntilAnswered.js'
 import { WorkerRegistrations } from '../workers/WorkerRegistrations.js'
 import { WorkerSet, type WorkerSetOptions } from '../workers/WorkerSet.js'
 
@@ -64,7 +64,7 @@
   readonly #stop = new AbortController()
   #wakeRound: () => void = () => {}
   /** Set once the store has answered. */
-  #commits!: CommitLog
+  #commits!: FencedBatchWriter
   #tookOverMs = 0
   #isRoundDue = false
   /** The first list of jobs was read: workers may be met. */
@@ -99,7 +99,7 @@
     this.#crashBook = new CrashBook({
       log: options.log, count: (kind) => options.metrics.count('workers_ended_under_tasks', kind), onChanged: (job) => this.#changed(job)
     })
-    const put = (key: string, source: RecordSource, isUrgent: boolean): void => this.#commits.put(key, source, isUrgent)
+    const put = (key: string, source: RecordEncoder, isUrgent: boolean): void => this.#commits.put(key, source, isUrgent)
     this.#silentWorkers = this.#createSilentWorkers(put)
     this.#workers = this.#createWorkers()
     this.#statusWriter = new StatusWriter({ service, clock, log: options.log, put, limitOf: (account) => accountsOf(configuration()).limitOf(account) })
@@ -151,7 +151,7 @@
     })
   }
 
-  #createSilentWorkers (put: (key: string, source: RecordSource, isUrgent: boolean) => void): SilentWorkers {
+  #createSilentWorkers (put: (key: string, source: RecordEncoder, isUrgent: boolean) => void): SilentWorkers {
     return new SilentWorkers({
       ...this.#options,
       put,
@@ -165,7 +165,7 @@
   }
 
   #createWorkers (): WorkerSet {
-    const { service, orders, fencingToken, clock, log, mayOrder, bounds } = this.#options
+    const { service, orders, fencingToken, clock, log, holdsDuty: mayOrder, bounds } = this.#options
     const linkOptions: WorkerSetOptions['linkOptions'] = {
       orders,
       fencingToken,
@@ -242,7 +242,7 @@
   async #recover (): Promise<boolean> {
     const { store, service, dutyKey, fencingToken, clock, metrics } = this.#options
     const [commits, progress, silent] = await Promise.all([
-      openCommitLog({
+      openFencedBatchWriter({
         store,
         clock,
         dutyKey,
@@ -255,13 +255,13 @@
           metrics.record('commit', service, latencyMs)
         }
       }, this.#stop.signal),
-      untilAnswered(() => store.list(progressPrefix(service)), this.#stop.signal),
-      untilAnswered(async () => (await store.get(silentWorkersKey(service))).map((item) => ({ item })), this.#stop.signal)
+      retryUntilAnswered(() => store.list(progressPrefix(service)), this.#stop.signal),
+      retryUntilAnswered(async () => (await store.get(silentWorkersKey(service))).map((item) => ({ item })), this.#stop.signal)
     ])
     if (commits === undefined || progress === undefined || silent === undefined) return false
     this.#inboxReader.remember(progress.items)
     this.#commits = commits
-    this.#silentWorkers.restore(silent.item, commits.formerDutyRevision)
+    this.#silentWorkers.restore(silent.item, commits.previousDutyRevision)
     return true
   }
 
@@ -328,7 +328,7 @@
   }
 
   #place (nowMs: number): void {
-    if (!this.#options.mayOrder()) return
+    if (!this.#options.holdsDuty()) return
     const configuration = this.#options.configuration()
     if (configuration === undefined) return
     const round = new PlacementRound({
--- a/packages/scheduler/src/lib/duties/ServiceSchedulerOptions.ts
+++ b/packages/scheduler/src/lib/duties/ServiceSchedulerOptions.ts
@@ -28,7 +28,7 @@
   /** The duty key's revision: it grows with each holder. */
   readonly fencingToken: number
   /** Whether the duty is held at this moment. */
-  readonly mayOrder: () => boolean
+  readonly holdsDuty: () => boolean
   readonly store: KeyValueStore
   readonly orders: RunOrders
   readonly advice: PlacementAdvice
--- a/packages/scheduler/src/lib/jobs/JobDesk.ts
+++ b/packages/scheduler/src/lib/jobs/JobDesk.ts
@@ -213,7 +213,7 @@
   async #retry<T> (deadlineMs: number, call: () => Promise<Result<T, PlatformError>>): Promise<Tried<T>> {
     const { clock, store } = this.#options
     const beganMs = clock.monotonicMs()
-    if (store.isSilent(beganMs)) return { result: Err(NOT_ASKED), mayHaveEffect: false, tries: 0 }
+    if (store.isUnresponsive(beganMs)) return { result: Err(NOT_ASKED), mayHaveEffect: false, tries: 0 }
     let lost = 0
     let pauseMs = RETRY_FIRST_MS
     for (let tries = 1; ; tries++) {
@@ -223,7 +223,7 @@
       if (result.val.kind === 'unknown-effect') lost++
       const nowMs = clock.monotonicMs()
       const giveUpMs = lost > 0 ? deadlineMs - DEADLINE_MARGIN_MS : beganMs + REFUSED_TRIES_MS
-      const isHopeless = lost >= MOST_LOST || store.isSilent(nowMs) || nowMs + pauseMs >= Math.min(giveUpMs, deadlineMs - DEADLINE_MARGIN_MS)
+      const isHopeless = lost >= MOST_LOST || store.isUnresponsive(nowMs) || nowMs + pauseMs >= Math.min(giveUpMs, deadlineMs - DEADLINE_MARGIN_MS)
       if (isHopeless) return { result, mayHaveEffect: lost > 0, tries }
       await delay(pauseMs)
       pauseMs = Math.min(RETRY_MAX_MS, pauseMs * 2)
--- a/packages/scheduler/src/lib/jobs/StatusWriter.ts
+++ b/packages/scheduler/src/lib/jobs/StatusWriter.ts
@@ -6,7 +6,7 @@
 import type { Clock } from '@quillscale/utils'
 import type { AccountName } from '@quillscale/ports'
 import { demandOf, type Job, machinesNeeded, type Resources } from '@quillscale/policy'
-import type { RecordSource } from '../records/CommitLog.js'
+import type { RecordEncoder } from '../records/FencedBatchWriter.js'
 import type { EventLog } from '../duties/EventLog.js'
 import { demandKey, encodeDemand } from '../records/serviceDemand.js'
 import { waitingKey } from '../records/storeKeys.js'
@@ -19,7 +19,7 @@
   readonly log: EventLog
   /** What an account may have running, `undefined` without a limit. */
   readonly limitOf: (account: AccountName) => Resources | undefined
-  readonly put: (key: string, source: RecordSource, isUrgent: boolean) => void
+  readonly put: (key: string, source: RecordEncoder, isUrgent: boolean) => void
 }
 
 /** How often the counts of waiting jobs are written at least; readers take older ones for outdated. */
--- a/packages/scheduler/src/lib/machines/MachineDuty.ts
+++ b/packages/scheduler/src/lib/machines/MachineDuty.ts
@@ -10,21 +10,21 @@
 import type { KeyValueStore, ListedMachine, MachineControl, MachineOrderOutcome, WaveRequest } from '@quillscale/ports'
 import type { PrefixReplica } from '@quillscale/leases'
 import { planWave } from '@quillscale/policy'
-import type { CommitLog } from '../records/CommitLog.js'
+import type { FencedBatchWriter } from '../records/FencedBatchWriter.js'
 import { createReplica } from '../records/createReplica.js'
-import type { DutyGrant, DutyTask } from '../duties/DutyRoster.js'
+import type { DutyGrant, DutyRunner } from '../duties/DutyElector.js'
 import type { EventLog } from '../duties/EventLog.js'
 import { decodeMachineRecord, encodeMachineRecord, MACHINE_RECORD_KEY, UNKNOWN_MACHINE_RECORD, type MachineRecord, type MachineTask, type WaveProgress } from './machineRecord.js'
-import { DemandBook } from '../records/DemandBook.js'
+import { DemandTracker } from '../records/DemandTracker.js'
 import type { RecordReader } from '../records/RecordReader.js'
-import { openCommitLog } from '../records/openCommitLog.js'
+import { openFencedBatchWriter } from '../records/openFencedBatchWriter.js'
 import { encodeGoneReport } from './goneReport.js'
 import { OrderPauses } from './OrderPauses.js'
 import { DEMAND_PREFIX } from '../records/serviceDemand.js'
 import { MachineWatch, type GoneWorker } from './MachineWatch.js'
 import { PoolBalancer } from './PoolBalancer.js'
 import { SightingRecord } from './SightingRecord.js'
-import { untilAnswered } from '../records/untilAnswered.js'
+import { retryUntilAnswered } from '../records/retryUntilAnswered.js'
 import { chainKey, goneKey, SIGHTINGS_PREFIX, vacateKey, vacatedKey, vacatePrefix, VACATED_PREFIX } from '../records/storeKeys.js'
 
 /** What it works with. @public */
@@ -69,7 +69,7 @@
 const MOVE_PATIENCE_MS = 3000
 
 /** The task. @public */
-export class MachineDuty implements DutyTask {
+export class MachineDuty implements DutyRunner {
   readonly #options: MachineDutyOptions
   readonly #stop = new AbortController()
   readonly #vacated: PrefixReplica
@@ -77,12 +77,12 @@
   readonly #tasks = new Map<string, MachineTask>()
   readonly #waves = new Map<number, WaveProgress>()
   readonly #requests = new Map<number, WaveRequest>()
-  readonly #demands: DemandBook
+  readonly #demands: DemandTracker
   readonly #pauses: OrderPauses
   readonly #watch = new MachineWatch()
   readonly #sightings = new SightingRecord()
   readonly #balancer: PoolBalancer
-  #commits!: CommitLog
+  #commits!: FencedBatchWriter
   #machines = new Map<string, ListedMachine>()
   #listedMs = -Infinity
   #tookOverMs = 0
@@ -92,7 +92,7 @@
   constructor (options: MachineDutyOptions) {
     this.#options = options
     const { store, clock, log } = options
-    this.#demands = new DemandBook(options.records)
+    this.#demands = new DemandTracker(options.records)
     this.#balancer = new PoolBalancer({ log, ordersPerS: options.ordersPerS })
     this.#pauses = new OrderPauses(() => options.holderChangeMs() + HOLDER_CHANGE_SLACK_MS)
     const ignored = (): void => {}
@@ -105,7 +105,7 @@
     const { store, clock, log, records, dutyKey, fencingToken, onDeposed } = this.#options
     this.#tookOverMs = clock.monotonicMs()
     const [commits, record, sightings] = await Promise.all([
-      openCommitLog({
+      openFencedBatchWriter({
         store,
         clock,
         dutyKey,
@@ -117,8 +117,8 @@
         },
         onStoreError: (error, transactionNumber) => log.warn({ error, transactionNumber }, 'records of machines not written yet')
       }, this.#stop.signal),
-      untilAnswered(() => store.get(MACHINE_RECORD_KEY), this.#stop.signal),
-      untilAnswered(() => store.list(SIGHTINGS_PREFIX), this.#stop.signal)
+      retryUntilAnswered(() => store.get(MACHINE_RECORD_KEY), this.#stop.signal),
+      retryUntilAnswered(() => store.list(SIGHTINGS_PREFIX), this.#stop.signal)
     ])
     if (commits === undefined || this.#stop.signal.aborted) return
     this.#commits = commits
@@ -156,7 +156,7 @@
   async #releaseForgotten (): Promise<void> {
     const { store, services, log } = this.#options
     for (const service of services()) {
-      const asked = await untilAnswered(() => store.list(vacatePrefix(service)), this.#stop.signal)
+      const asked = await retryUntilAnswered(() => store.list(vacatePrefix(service)), this.#stop.signal)
       for (const { key } of asked?.items ?? []) {
         const machineId = key.slice(vacatePrefix(service).length)
         if (this.#tasks.has(machineId)) continue
@@ -332,7 +332,7 @@
   }
 
   async #send (task: MachineTask): Promise<void> {
-    const { machines, hostName, fencingToken, log, mayOrder, clock } = this.#options
+    const { machines, hostName, fencingToken, log, holdsDuty: mayOrder, clock } = this.#options
     if (!mayOrder()) return this.#pauses.end(task.machineId, clock.monotonicMs())
     const order = { machineId: task.machineId, holder: hostName, fencingToken }
     const sent = await (task.kind === 'upkeep' ? machines.upkeep(order, task.wave) : machines.move(order, task.to))
--- a/packages/scheduler/src/lib/machines/MachineVacator.ts
+++ b/packages/scheduler/src/lib/machines/MachineVacator.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock } from '@quillscale/utils'
 import { planLeave, planVacate, type Run } from '@quillscale/policy'
-import type { RecordSource } from '../records/CommitLog.js'
+import type { RecordEncoder } from '../records/FencedBatchWriter.js'
 import type { EventLog } from '../duties/EventLog.js'
 import { vacatedKey } from '../records/storeKeys.js'
 import type { WorkerLink } from '../workers/WorkerLink.js'
@@ -16,7 +16,7 @@
   readonly service: string
   readonly clock: Clock
   readonly log: EventLog
-  readonly put: (key: string, source: RecordSource, isUrgent: boolean) => void
+  readonly put: (key: string, source: RecordEncoder, isUrgent: boolean) => void
   readonly stop: (run: Run) => void
 }
 
--- a/packages/scheduler/src/lib/records/ConfigurationFollower.ts
+++ b/packages/scheduler/src/lib/records/ConfigurationWatcher.ts
@@ -11,7 +11,7 @@
 import type { RecordProblem, RecordReader } from './RecordReader.js'
 
 /** What the follower works with. @public */
-export interface ConfigurationFollowerOptions {
+export interface ConfigurationWatcherOptions {
   readonly store: MonitoredStore
   readonly clock: Clock
   readonly log: EventLog
@@ -33,10 +33,10 @@
 const RELIST_MS = 5000
 
 /** The follower. @public */
-export class ConfigurationFollower {
+export class ConfigurationWatcher {
   readonly waves = new Map<string, WaveRequest>()
   #configuration: FleetConfiguration | undefined
-  readonly #options: ConfigurationFollowerOptions
+  readonly #options: ConfigurationWatcherOptions
   readonly #replica: PrefixReplica
   #refreshing: Promise<boolean> | undefined
   /** Monotonic: when the last reading of its own began, and when the last one that was answered did. */
@@ -44,7 +44,7 @@
   #readMs = -Infinity
 
   /** @param options - what it works with */
-  constructor (options: ConfigurationFollowerOptions) {
+  constructor (options: ConfigurationWatcherOptions) {
     this.#options = options
     const { store, clock, log, prefix } = options
     this.#replica = new PrefixReplica({
@@ -86,7 +86,7 @@
    */
   async ensureFresh (nowMs: number, maxAgeMs: number): Promise<void> {
     // Callers are refused at once, not after a time-out.
-    if (this.ageMs(nowMs) <= maxAgeMs || this.#options.store.isSilent(nowMs)) return
+    if (this.ageMs(nowMs) <= maxAgeMs || this.#options.store.isUnresponsive(nowMs)) return
     if (this.#refreshing === undefined && nowMs - this.#triedMs <= maxAgeMs) return
     if (this.#refreshing === undefined) this.#triedMs = nowMs
     const askedMs = this.#triedMs
--- a/packages/scheduler/src/lib/records/DemandBook.ts
+++ b/packages/scheduler/src/lib/records/DemandTracker.ts
@@ -14,7 +14,7 @@
 interface Seen { readonly revision: number, readonly atMs: number }
 
 /** The book. @public */
-export class DemandBook {
+export class DemandTracker {
   readonly #records: RecordReader
   readonly #seen = new Map<string, Seen>()
 
--- a/packages/scheduler/src/lib/records/CommitLog.ts
+++ b/packages/scheduler/src/lib/records/FencedBatchWriter.ts
@@ -10,7 +10,7 @@
 import { MAX_TRANSACTION_ENTRIES, type KeyValueStore, type PlatformError, type Transaction } from '@quillscale/ports'
 
 /** What a commit log writes under. @public */
-export interface CommitLogOptions {
+export interface FencedBatchWriterOptions {
   readonly store: KeyValueStore
   readonly clock: Clock
   readonly dutyKey: string
@@ -18,7 +18,7 @@
   readonly chainKey: string
   readonly chainRevision: number
   /** Of the holder that wrote last, if any did. */
-  readonly formerDutyRevision?: number | undefined
+  readonly previousDutyRevision?: number | undefined
   /** Called when another holder has taken over: nothing of this log will be written any more. */
   readonly onDeposed: () => void
   /** Called for each try that failed. */
@@ -28,7 +28,7 @@
 }
 
 /** A value to be written, encoded when its transaction is made; `undefined` removes the key. @public */
-export type RecordSource = () => string | undefined
+export type RecordEncoder = () => string | undefined
 
 /** Two conditions and the chain's own put. */
 const BOOKKEEPING_ENTRIES = 3
@@ -48,11 +48,11 @@
 
 interface Waiter { readonly sequence: number, readonly resolve: (isDurable: boolean) => void }
 interface Encoded { readonly key: string, readonly value: string | undefined, readonly sequence: number }
-interface Dirty { readonly sequence: number, readonly source: RecordSource }
+interface Dirty { readonly sequence: number, readonly source: RecordEncoder }
 
 /** The log. @public */
-export class CommitLog {
-  readonly #options: CommitLogOptions
+export class FencedBatchWriter {
+  readonly #options: FencedBatchWriterOptions
   readonly #dirty = new Map<string, Dirty>()
   readonly #waiters: Waiter[] = []
   #sequence = 0
@@ -64,18 +64,18 @@
   #wake: () => void = () => {}
 
   /** @param options - where and under which duty */
-  constructor (options: CommitLogOptions) {
+  constructor (options: FencedBatchWriterOptions) {
     this.#options = options
     this.#chainRevision = options.chainRevision
   }
 
   /** The duty's revision under which anything was written last, before this log. */
-  get formerDutyRevision (): number | undefined {
-    return this.#options.formerDutyRevision
+  get previousDutyRevision (): number | undefined {
+    return this.#options.previousDutyRevision
   }
 
   /** @param key - to be written soon @param source - gives its value then @param isUrgent - whether something waits for it */
-  put (key: string, source: RecordSource, isUrgent = false): void {
+  put (key: string, source: RecordEncoder, isUrgent = false): void {
     const sequence = this.#dirty.get(key)?.sequence ?? ++this.#sequence
     this.#dirty.set(key, { sequence, source })
     if (isUrgent) this.#isUrgent = true
--- a/packages/scheduler/src/lib/records/MonitoredStore.ts
+++ b/packages/scheduler/src/lib/records/MonitoredStore.ts
@@ -32,7 +32,7 @@
   }
 
   /** @param nowMs - monotonic @returns whether calls are likely to fail now */
-  isSilent (nowMs: number): boolean {
+  isUnresponsive (nowMs: number): boolean {
     return this.#failures >= FAILURES_IN_ROW && nowMs - this.#answeredMs > SILENT_MS
   }
 
--- a/packages/scheduler/src/lib/records/untilAnswered.ts
+++ b/packages/scheduler/src/lib/records/retryUntilAnswered.ts
@@ -17,7 +17,7 @@
  * @returns what was read, `undefined` once the signal has ended them
  * @public
  */
-export async function untilAnswered<T> (read: () => Promise<Result<T, PlatformError>>, signal: AbortSignal): Promise<T | undefined> {
+export async function retryUntilAnswered<T> (read: () => Promise<Result<T, PlatformError>>, signal: AbortSignal): Promise<T | undefined> {
   while (!signal.aborted) {
     const answer = await read()
     if (answer.ok) return answer.val
--- a/packages/scheduler/src/lib/workers/SilentWorkers.ts
+++ b/packages/scheduler/src/lib/workers/SilentWorkers.ts
@@ -14,7 +14,7 @@
 import { decodeJson, delay, type Clock } from '@quillscale/utils'
 import type { KeyValue, KeyValueStore } from '@quillscale/ports'
 import * as z from 'zod'
-import type { RecordSource } from '../records/CommitLog.js'
+import type { RecordEncoder } from '../records/FencedBatchWriter.js'
 import type { RecordReader } from '../records/RecordReader.js'
 import type { EventLog } from '../duties/EventLog.js'
 import { leaseTimerKey, leaseTimerPrefix, silentWorkersKey } from '../records/storeKeys.js'
@@ -46,7 +46,7 @@
   /** After how long all leases of a worker are surely over, as far as is known at that time, monotonic. */
   readonly leasesLeftMs: (instanceId: string, nowMs: number) => number
   /** Writes under the duty. */
-  readonly put: (key: string, source: RecordSource, isUrgent: boolean) => void
+  readonly put: (key: string, source: RecordEncoder, isUrgent: boolean) => void
   /** Resolves once all that was put is durable; false if it never will be. */
   readonly flushed: () => Promise<boolean>
   /** Whether a worker is, or may be, dealt with: entries of others are left out of the record. */
--- a/packages/scheduler/src/test/DutyRoster.test.ts
+++ b/packages/scheduler/src/test/DutyElector.test.ts
@@ -2,7 +2,7 @@
 import { delay, Err, SeededRandom, systemClock, type Result } from '@quillscale/utils'
 import type { KeyValueStore, PlatformError } from '@quillscale/ports'
 import { MemoryKeyValueStore } from '@quillscale/platform-memory'
-import { DutyRoster, type DutyGrant, type DutyTask } from '../lib/duties/DutyRoster.js'
+import { DutyElector, type DutyGrant, type DutyRunner } from '../lib/duties/DutyElector.js'
 import { DUTY_PREFIX, hostKey, HOSTS_PREFIX } from '../lib/records/storeKeys.js'
 import { RecordReader } from '../lib/records/RecordReader.js'
 import { SchedulerMetrics } from '../lib/duties/SchedulerMetrics.js'
@@ -34,7 +34,7 @@
 class Tenures {
   readonly holders = new Map<string, { readonly host: string, readonly fromMs: number }>()
 
-  create (dutyKey: string, host: string): (grant: DutyGrant) => DutyTask {
+  create (dutyKey: string, host: string): (grant: DutyGrant) => DutyRunner {
     return () => {
       this.holders.set(dutyKey, { host, fromMs: performance.now() })
       return { run: async () => {}, close: () => {}, flush: async () => {} }
@@ -42,7 +42,7 @@
   }
 }
 
-interface Host { readonly roster: DutyRoster, readonly store: HostStore, readonly name: string }
+interface Host { readonly roster: DutyElector, readonly store: HostStore, readonly name: string }
 
 describe('DutyRoster', () => {
   const store = new MemoryKeyValueStore(systemClock)
@@ -57,9 +57,9 @@
   function addHost (name: string, power: number, dutyKeys: readonly string[] = DUTIES): Host {
     const own = new HostStore(store)
     const random = new SeededRandom(hosts.length)
-    const roster = new DutyRoster({
+    const roster = new DutyElector({
       hostName: name,
-      power,
+      capacityCores: power,
       store: own as unknown as KeyValueStore,
       clock: systemClock,
       log: new TestLog(),
--- a/packages/scheduler/src/test/CommitLog.test.ts
+++ b/packages/scheduler/src/test/FencedBatchWriter.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import { delay, systemClock } from '@quillscale/utils'
-import { CommitLog } from '../lib/records/CommitLog.js'
+import { FencedBatchWriter } from '../lib/records/FencedBatchWriter.js'
 import { FaultyStore } from './TestService.js'
 
 describe('CommitLog', () => {
@@ -11,9 +11,9 @@
     isDeposed = false
   })
 
-  async function logUnderDuty (): Promise<CommitLog> {
+  async function logUnderDuty (): Promise<FencedBatchWriter> {
     const duty = (await store.compareAndSwap({ key: 'duty', expectedModRevision: 0, value: 'me' })).unwrap()
-    const log = new CommitLog({
+    const log = new FencedBatchWriter({
       store,
       clock: systemClock,
       dutyKey: 'duty',
--- a/packages/scheduler/src/test/MachineDuty.test.ts
+++ b/packages/scheduler/src/test/MachineDuty.test.ts
@@ -30,7 +30,7 @@
     const duty = new MachineDuty({
       dutyKey: MACHINE_DUTY_KEY,
       fencingToken: taken.swapped ? taken.modRevision : 0,
-      mayOrder: () => true,
+      holdsDuty: () => true,
       onDeposed: () => {},
       hostName,
       store: service.store,
@@ -67,7 +67,7 @@
     expect([...kept].sort()).to.deep.equal(wave.machineIds)
     expect(machines.mostDown).to.be.at.most(2)
     await service.until('all tasks run again', () => service.runs.records.filter(({ endedMs }) => endedMs === undefined).length === 4)
-    expect(service.doubled).to.deep.equal([])
+    expect(service.duplicatedTasks).to.deep.equal([])
   }).timeout(20_000)
 
   it('gives a service that wants more a parked machine', async () => {
--- a/packages/scheduler/src/test/MonitoredStore.test.ts
+++ b/packages/scheduler/src/test/MonitoredStore.test.ts
@@ -69,7 +69,7 @@
         else nowMs += event.afterMs
         await new Promise((resolve) => setImmediate(resolve))
       }
-      expect(store.isSilent(nowMs)).to.equal(isSilent)
+      expect(store.isUnresponsive(nowMs)).to.equal(isSilent)
     })
   }
 })
--- a/packages/scheduler/src/test/SchedulerFuzz.test.ts
+++ b/packages/scheduler/src/test/SchedulerFuzz.test.ts
@@ -104,7 +104,7 @@
     const { records } = this.service.runs
     const doneMs = (jobId: JobId, step: number, index: number): number =>
       Math.min(...records.filter(({ taskKey, end }) => taskKey === `${jobId}.0.${step}.${index}` && end === 'done').map(({ endedMs }) => endedMs ?? Infinity))
-    const found = this.service.doubled.map((taskKey) => `${taskKey} ran twice`)
+    const found = this.service.duplicatedTasks.map((taskKey) => `${taskKey} ran twice`)
     for (const { jobId, taskCounts, cancelledMs } of this.asked) {
       for (const { taskKey, startedMs } of records.filter((record) => record.taskKey.startsWith(jobId))) {
         const step = Number(taskKey.split('.')[2])
--- a/packages/scheduler/src/test/ServiceScheduler.test.ts
+++ b/packages/scheduler/src/test/ServiceScheduler.test.ts
@@ -57,7 +57,7 @@
     await service.until('it runs', () => service.runs.records.length === 1)
     const lostId = service.runs.records[0]?.instanceId ?? ''
     service.runs.workers.get(lostId)?.crash()
-    service.tellGone({ instanceId: lostId, machineId: service.runs.workers.get(lostId)?.instance.machineId ?? '' })
+    service.reportGone({ instanceId: lostId, machineId: service.runs.workers.get(lostId)?.instance.machineId ?? '' })
     await service.until('it runs again', () => service.runs.records.length === 2, 1000)
     expect(service.runs.records[1]?.instanceId).not.to.equal(lostId)
     service.unlist(lostId)
@@ -134,7 +134,7 @@
       await service.takeOver()
       await service.untilStatus(jobId, 'succeeded')
       expect(service.runs.records).to.have.length(4)
-      expect(service.doubled).to.deep.equal([])
+      expect(service.duplicatedTasks).to.deep.equal([])
     })
 
     it('makes no copies of what runs before its workers had time to answer', async () => {
@@ -157,7 +157,7 @@
       const jobId = await service.submit(1, { runMs: 20 }, [{ taskCount: 3 }])
       await service.untilStatus(jobId, 'succeeded')
       await service.until('the former is deposed', () => first.isDeposed)
-      expect(service.doubled).to.deep.equal([])
+      expect(service.duplicatedTasks).to.deep.equal([])
     })
 
     it('leaves a task on a worker that does not answer alone until its lease is over', async () => {
@@ -171,7 +171,7 @@
       await service.takeOver()
       await service.until('it runs elsewhere', () => service.runs.records.length === 2)
       worker?.step()
-      expect(service.doubled).to.deep.equal([])
+      expect(service.duplicatedTasks).to.deep.equal([])
     })
   })
 
@@ -184,7 +184,7 @@
     await delay(1200)
     for (const worker of service.runs.workers.values()) worker.faults.startsLateMs = 0
     await service.untilStatus(jobId, 'succeeded')
-    expect(service.doubled).to.deep.equal([])
+    expect(service.duplicatedTasks).to.deep.equal([])
   })
 
   it('lost answers of the store neither lose nor double work', async () => {
--- a/packages/scheduler/src/test/TestService.ts
+++ b/packages/scheduler/src/test/TestService.ts
@@ -107,7 +107,7 @@
   readonly scheduler: ServiceScheduler
   readonly fencingToken: number
   /** Whether the grant counts as held; a test may take it away. */
-  mayOrder: boolean
+  holdsDuty: boolean
   isDeposed: boolean
 }
 
@@ -206,7 +206,7 @@
    * @param instance - of the worker
    * @param listedWallMs - when the list was asked for
    */
-  tellGone ({ instanceId, machineId }: Pick<WorkerInstance, 'instanceId' | 'machineId'>, listedWallMs = Date.now()): void {
+  reportGone ({ instanceId, machineId }: Pick<WorkerInstance, 'instanceId' | 'machineId'>, listedWallMs = Date.now()): void {
     this.write(goneKey(SERVICE, workerIdOf(instanceId)), encodeGoneReport({ machineId, listedWallMs }))
   }
 
@@ -215,7 +215,7 @@
     this.#set(DUTY_KEY, undefined)
     const taken = await MemoryKeyValueStore.prototype.compareAndSwap.call(this.store, { key: DUTY_KEY, expectedModRevision: 0, value: 'test' })
     const fencingToken = taken.ok && taken.val.swapped ? taken.val.modRevision : 0
-    const tenure: Tenure = { scheduler: this.#createScheduler(fencingToken, () => tenure), fencingToken, mayOrder: true, isDeposed: false }
+    const tenure: Tenure = { scheduler: this.#createScheduler(fencingToken, () => tenure), fencingToken, holdsDuty: true, isDeposed: false }
     this.tenures.push(tenure)
     void tenure.scheduler.run()
     return tenure
@@ -226,7 +226,7 @@
       service: SERVICE,
       dutyKey: DUTY_KEY,
       fencingToken,
-      mayOrder: () => tenure().mayOrder,
+      holdsDuty: () => tenure().holdsDuty,
       store: this.store,
       orders: this.runs,
       advice: { advise: async () => Ok({ workers: [], validMs: 1000 }) },
@@ -291,7 +291,7 @@
   }
 
   /** Task keys of which two runs went at the same time on workers that lived, or that ran again after an acknowledged end. */
-  get doubled (): string[] {
+  get duplicatedTasks (): string[] {
     const records = this.runs.records
     return records.filter((a) => records.some((b) => a !== b && a.taskKey === b.taskKey && overlaps(a, b))).map(({ taskKey }) => taskKey)
   }
--- a/packages/scheduler/src/test/crashingTasks.test.ts
+++ b/packages/scheduler/src/test/crashingTasks.test.ts
@@ -52,7 +52,7 @@
   async #bringBack (instanceId: string, machineId: string): Promise<void> {
     this.#isOver.add(instanceId)
     await delay(NOTICED_MS)
-    this.service.tellGone({ instanceId, machineId })
+    this.service.reportGone({ instanceId, machineId })
     this.service.unlist(instanceId)
     await delay(BACK_MS)
     const [, life = '1'] = instanceId.split('-')
@@ -291,7 +291,7 @@
       const struckMs = performance.now()
       await service.untilStatus(jobId, 'succeeded')
       expect(performance.now() - struckMs, 'until it is done').to.be.below(runMs + MOST_HELD_BACK_MS)
-      expect(service.doubled).to.deep.equal([])
+      expect(service.duplicatedTasks).to.deep.equal([])
     }).timeout(40_000)
   }
 })
--- a/packages/scheduler/src/test/fleetRestarts.test.ts
+++ b/packages/scheduler/src/test/fleetRestarts.test.ts
@@ -58,7 +58,7 @@
     this.#isOff = true
     this.#tenure?.scheduler.close()
     this.#duty?.close()
-    if (this.#tenure !== undefined) this.#tenure.mayOrder = false
+    if (this.#tenure !== undefined) this.#tenure.holdsDuty = false
     this.whileOff(this)
     setTimeout(() => {
       this.#isOff = false
@@ -76,7 +76,7 @@
     this.#duty = new MachineDuty({
       dutyKey: MACHINE_DUTY_KEY,
       fencingToken,
-      mayOrder: () => true,
+      holdsDuty: () => true,
       onDeposed: () => {},
       hostName,
       store: service.store,
@@ -153,7 +153,7 @@
         for (let from = 0; from < fleets.length; from += AT_ONCE) await Promise.all(fleets.slice(from, from + AT_ONCE).map((fleet) => fleet.play()))
         const late = fleets.filter(({ mostAwayMs }) => mostAwayMs > MOST_AWAY_MS)
         expect(late.map(({ fatalStep, isDoneFirst, mostAwayMs }) => `step ${fatalStep} ${isDoneFirst ? 'done' : 'not done'}: ${mostAwayMs.toFixed(0)} ms`)).to.deep.equal([])
-        expect(fleets.flatMap(({ service }) => service.doubled)).to.deep.equal([])
+        expect(fleets.flatMap(({ service }) => service.duplicatedTasks)).to.deep.equal([])
       } finally {
         for (const fleet of fleets) fleet.close()
       }
--- a/packages/scheduler/src/test/foreignRecords.test.ts
+++ b/packages/scheduler/src/test/foreignRecords.test.ts
@@ -40,7 +40,7 @@
         expect(tenure.isDeposed, value).to.equal(false)
         tenure.scheduler.close()
       }
-      expect(service.doubled).to.deep.equal([])
+      expect(service.duplicatedTasks).to.deep.equal([])
       expect(service.runs.records).to.have.length(2 * JUNK.length)
     })
   }
@@ -72,7 +72,7 @@
     expect(service.runs.records[0]?.end).to.equal(undefined)
     service.addWorker(0, 1)
     await service.untilStatus(jobId, 'succeeded')
-    expect(service.doubled).to.deep.equal([])
+    expect(service.duplicatedTasks).to.deep.equal([])
   })
 
   it('what runs on a worker whose entry cannot be read as a next holder comes runs elsewhere only once its lease is over', async () => {
@@ -88,7 +88,7 @@
     await service.until('it runs elsewhere', () => service.runs.records.length === 2, 8000)
     // Nobody calls it any more: what its lease ended is seen when it is looked at.
     service.runs.workers.get(instanceId)?.step()
-    expect(service.doubled).to.deep.equal([])
+    expect(service.duplicatedTasks).to.deep.equal([])
   })
 
   it('an entry that names the machine of a worker that lives does not end that one, unless somebody answers there', async () => {
@@ -124,7 +124,7 @@
     await service.takeOver()
     await service.submit(1, { runMs: 0 }, [{ isLasting: true }])
     await service.until('it runs', () => service.runs.records.length === 1)
-    service.tellGone({ instanceId: 'w0-1', machineId: 'some other machine' })
+    service.reportGone({ instanceId: 'w0-1', machineId: 'some other machine' })
     await delay(300)
     expect(service.runs.records).to.have.length(1)
   })
--- a/packages/scheduler/src/test/restartedWorkers.test.ts
+++ b/packages/scheduler/src/test/restartedWorkers.test.ts
@@ -26,7 +26,7 @@
     const ended = [...service.runs.workers.values()]
     const restarted = ended.map((worker) => service.restartWorker(worker))
     await delay(NOTICED_MS)
-    for (const { instance } of ended) service.tellGone(instance)
+    for (const { instance } of ended) service.reportGone(instance)
     return restarted
   }
 
@@ -40,7 +40,7 @@
     const after = await service.submit(2, { runMs: 50 }, [{ taskCount: WORKERS }])
     await service.untilStatus(after, 'succeeded')
     expect(restarted.flatMap(({ records }) => records).length).to.equal(WORKERS)
-    expect(service.doubled).to.deep.equal([])
+    expect(service.duplicatedTasks).to.deep.equal([])
   })
 
   interface Case {
@@ -141,8 +141,8 @@
       strike: async (worker, tenure) => {
         const own = service
         const next = own.restartWorker(worker)
-        setTimeout(() => own.tellGone(worker.instance), 200).unref()
-        setTimeout(() => own.tellGone(worker.instance), 400).unref()
+        setTimeout(() => own.reportGone(worker.instance), 200).unref()
+        setTimeout(() => own.reportGone(worker.instance), 400).unref()
         return { worker: next, tenure }
       }
     },
@@ -154,7 +154,7 @@
         await service.until('it runs again', () => next.records.length > 0)
         await delay(RUNS_FOR_MS)
         next.crash()
-        service.tellGone(next.instance, Date.now() + LATER_MS)
+        service.reportGone(next.instance, Date.now() + LATER_MS)
         await service.until('that is over', () => service.log.lines.some((line) => line.startsWith('worker lifetime is over') && line.includes(next.instance.instanceId)))
         return { worker: service.restartWorker(next, true, Date.now() + 2 * LATER_MS), tenure }
       }
@@ -192,7 +192,7 @@
       expect(performance.now() - struckMs, service.log.lines.slice(-30).join('\n')).to.be.below(4000)
       const next = await service.submit(2, { runMs: 20 }, [{ taskCount: 2 }])
       await service.untilStatus(next, 'succeeded')
-      expect(service.doubled, service.log.lines.join('\n')).to.deep.equal([])
+      expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
       expect(tenure.isDeposed).to.equal(false)
       expect(worker.records.filter(({ taskKey }) => taskKey.startsWith(next)).length).to.equal(2)
     })
@@ -214,7 +214,7 @@
     service.maxLeaseMs = 10_000
     service.runs.onCrash = (worker) => {
       setTimeout(() => service.restartWorker(worker), 30).unref()
-      setTimeout(() => service.tellGone(worker.instance), NOTICED_MS).unref()
+      setTimeout(() => service.reportGone(worker.instance), NOTICED_MS).unref()
     }
     await service.takeOver()
     const jobId = await service.submit(1, { runMs: 400, crashesAfterMs: 10 }, [{ taskCount: 2 }])
--- a/packages/scheduler/src/test/takeOvers.test.ts
+++ b/packages/scheduler/src/test/takeOvers.test.ts
@@ -76,7 +76,7 @@
       }
       await service.until('it runs again', isBack)
       lost.worker.step()
-      expect(service.doubled, service.log.lines.join('\n')).to.deep.equal([])
+      expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
       const again = service.runs.records.find(({ runNumber }) => runNumber === 2)
       expect((again?.startedMs ?? Infinity) - lost.lostMs).to.be.below(WHOLE_WAIT_MS + ALLOWANCE_MS)
     }).timeout(30_000)
@@ -99,7 +99,7 @@
     await service.until('it runs again', () => service.runs.records.length === 2)
     worker.step()
     expect(performance.now() - takenMs).to.be.below(SHORT_WAIT_MS + ALLOWANCE_MS)
-    expect(service.doubled, service.log.lines.join('\n')).to.deep.equal([])
+    expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
   }).timeout(30_000)
 
   it('does not take a run for lost whose worker answered in between', async () => {
@@ -120,7 +120,7 @@
     await service.takeOver()
     await service.until('it runs again', () => service.runs.records.length === 2)
     worker.step()
-    expect(service.doubled, service.log.lines.join('\n')).to.deep.equal([])
+    expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
   }).timeout(30_000)
 
   it('waits for leases of a former holder, though the worker answered this one before it could give any', async () => {
@@ -138,7 +138,7 @@
     await delay(800)
     service.store.refusesWrites = false
     await pass(worker, 7000)
-    expect(service.doubled, service.log.lines.join('\n')).to.deep.equal([])
+    expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
   }).timeout(30_000)
 
   it('a worker with ends to acknowledge goes on being asked while it may not be given a lease', async () => {
@@ -153,7 +153,7 @@
     await pass(worker, 3000)
     service.store.refusesWrites = false
     await pass(worker, 4000)
-    expect(service.doubled, service.log.lines.join('\n')).to.deep.equal([])
+    expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
     expect(worker.records.filter(({ taskKey, end }) => taskKey.startsWith('0000000000000001') && end !== undefined)).to.deep.equal([])
   }).timeout(30_000)
 
@@ -172,7 +172,7 @@
     next.scheduler.close()
     await service.takeOver()
     await pass(worker, 9500)
-    expect(service.doubled, service.log.lines.join('\n')).to.deep.equal([])
+    expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
   }).timeout(30_000)
 
   it('gives no lease to a worker that may stand in the record', async () => {
@@ -189,7 +189,7 @@
     service.store.refusesWrites = false
     await service.takeOver()
     await pass(worker, 3000)
-    expect(service.doubled, service.log.lines.join('\n')).to.deep.equal([])
+    expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
   }).timeout(30_000)
 
   const changes = [
@@ -205,7 +205,7 @@
       await then()
       await pass(worker, 8000)
       expect(service.runs.records).to.have.length(2)
-      expect(service.doubled, service.log.lines.join('\n')).to.deep.equal([])
+      expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
     }).timeout(30_000)
   }
 
@@ -235,7 +235,7 @@
     service = new TestService(0)
     try {
       await Promise.all(series.map((each) => each.play()))
-      for (const { seed, service: played } of series) expect(played.doubled, `seed ${seed}\n${played.log.lines.join('\n')}`).to.deep.equal([])
+      for (const { seed, service: played } of series) expect(played.duplicatedTasks, `seed ${seed}\n${played.log.lines.join('\n')}`).to.deep.equal([])
     } finally {
       for (const each of series) each.close()
     }
@@ -304,8 +304,8 @@
   #pauseOrders (): void {
     const tenure = this.service.tenures.at(-1)
     if (tenure === undefined) return
-    tenure.mayOrder = false
-    setTimeout(() => { tenure.mayOrder = true }, ORDERS_PAUSE_MS)
+    tenure.holdsDuty = false
+    setTimeout(() => { tenure.holdsDuty = true }, ORDERS_PAUSE_MS)
   }
 
   close (): void {
@@ -324,7 +324,7 @@
     // Some are not told, and go on until they find out.
     const isTold = this.#random.next() < 0.8
     if (tenure !== undefined && isTold) await this.#random.pick(endings).end(tenure)
-    if (tenure !== undefined) tenure.mayOrder = false
+    if (tenure !== undefined) tenure.holdsDuty = false
     await this.service.takeOver()
   }
 }
