--- a/packages/bench/src/lib/policy/SimulatedPools.ts
+++ b/packages/bench/src/lib/policy/SimulatedPools.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { workerIdOf, type ListedMachine } from '@quillscale/ports'
-import { NEED_MEMORY_MS, planPools, ServiceNeeds } from '@quillscale/policy'
+import { NEED_WINDOW_MS, planPools, MachineNeedTracker } from '@quillscale/policy'
 import type { PolicyLoad } from './policyLoad.js'
 import type { SimulatedService } from './SimulatedService.js'
 import { SimulatedWorker } from './SimulatedWorker.js'
@@ -34,7 +34,7 @@
   readonly #options: SimulatedPoolsOptions
   readonly #machines: SimulatedMachine[] = []
   readonly #moving = new Map<string, string>()
-  #needs = new ServiceNeeds()
+  #needs = new MachineNeedTracker()
   #tookOverMs = 0
 
   /** @param options - what it works with */
@@ -77,7 +77,7 @@
 
   /** Another holder decides from now on: it remembers no needs. @param nowMs - the present */
   takeOver (nowMs: number): void {
-    this.#needs = new ServiceNeeds()
+    this.#needs = new MachineNeedTracker()
     this.#tookOverMs = nowMs
   }
 
@@ -85,18 +85,18 @@
   plan (nowMs: number): void {
     for (const [machineId, to] of this.#moving) this.#moveIfEmpty(machineId, to, nowMs)
     const demands = [...this.#options.services.values()].map((service) => service.demand(nowMs))
-    const recentNeed = this.#needs.recent(demands, nowMs)
+    const recentNeed = this.#needs.trackRecentPeak(demands, nowMs)
     const moves = planPools({
       demands,
       headroomPools: [SPARE_POOL],
       machines: this.#listed(nowMs),
       busy: this.#moving,
       isRefused: () => false,
-      unusable: new Set(),
-      mayPark: nowMs - this.#tookOverMs > NEED_MEMORY_MS,
-      recentNeed,
-      comingNeed: this.#needs.coming(demands, nowMs),
-      mostMoves: MOST_MOVES
+      unusableMachines: new Set(),
+      mayReleaseMachines: nowMs - this.#tookOverMs > NEED_WINDOW_MS,
+      recentPeakNeed: recentNeed,
+      predictedNeed: this.#needs.predictNeed(demands, nowMs),
+      maxMoves: MOST_MOVES
     })
     for (const { machineId, from, to } of moves) {
       this.#moving.set(machineId, to)
--- a/packages/bench/src/lib/policy/SimulatedService.ts
+++ b/packages/bench/src/lib/policy/SimulatedService.ts
@@ -5,7 +5,8 @@
  */
 import type { FleetConfiguration } from '@quillscale/ports'
 import {
-  createJob, demandOf, hasEnded, isWholeJobDone, planVacate, PlacementRound, RunTimes, stepOf, type Job, type JobSpec, type Run, type ServiceDemand, type Task
+  createJob, computeServiceDemand, hasEnded, isJobDone, planDrain, PlacementRound, RunTimeEstimator, stepOf,
+  type Job, type JobSpec, type Run, type ServiceDemand, type Task
 } from '@quillscale/policy'
 import type { DrawnJob } from './drawJobs.js'
 import type { SimulatedWorker } from './SimulatedWorker.js'
@@ -29,7 +30,7 @@
   readonly #configuration: FleetConfiguration
   readonly #leaseMs: number
   readonly #held = new Map<string, HeldJob>()
-  readonly #times = new RunTimes()
+  readonly #times = new RunTimeEstimator()
   readonly #stopping: Array<{ readonly run: Run, readonly atMs: number }> = []
 
   /** @param name - of the service @param configuration - with its queues @param leaseMs - until runs of a silent worker may be placed again */
@@ -67,19 +68,19 @@
   }
 
   #progress (run: Run, share: number, nowMs: number): void {
-    run.seenMs = run.progressMs = nowMs
+    run.lastListedMs = run.progressMs = nowMs
     run.percent = stepOf(run.task).isLasting ? 100 : Math.floor(share * 100)
   }
 
   #done (worker: SimulatedWorker, run: Run, tookMs: number, onDone: (drawn: DrawnJob) => void): void {
     const { task } = run
-    this.#times.note(stepOf(task), tookMs)
+    this.#times.addSample(stepOf(task), tookMs)
     task.isDone = true
     this.#close(worker, run)
     for (const copy of [...task.runs]) this.#stop(copy, -Infinity)
     const { job } = task
     const drawn = this.#held.get(job.spec.jobId)?.drawn
-    if (drawn === undefined || hasEnded(job) || !isWholeJobDone(job)) return
+    if (drawn === undefined || hasEnded(job) || !isJobDone(job)) return
     job.status = 'succeeded'
     this.#held.delete(job.spec.jobId)
     onDone(drawn)
@@ -101,21 +102,21 @@
   round (nowMs: number): void {
     for (const [machineId, sinceMs] of this.vacating) {
       const runs = [...this.workers.values()].filter(({ instance }) => instance.machineId === machineId).flatMap((worker) => [...worker.runs.values()])
-      for (const run of planVacate(runs, sinceMs, nowMs)) this.#stop(run, nowMs)
+      for (const run of planDrain(runs, sinceMs, nowMs)) this.#stop(run, nowMs)
     }
     const round = new PlacementRound({
       configuration: this.#configuration,
       jobs: this.#jobs(),
-      links: [...this.workers.values()],
-      times: this.#times,
+      workerViews: [...this.workers.values()],
+      runTimes: this.#times,
       advice: NO_TICKETS,
-      accountRooms: () => undefined,
+      accountQuotaOf: () => undefined,
       vacating: { isVacating: (machineId) => this.vacating.has(machineId) },
       nowMs,
       wallMs: nowMs
     })
     for (const run of round.place()) this.workers.get(run.instanceId)?.begin(run, nowMs + START_MS, this.#trueMs(run.task))
-    for (const run of round.toStop) this.#stop(run, nowMs)
+    for (const run of round.runsToStop) this.#stop(run, nowMs)
   }
 
   #trueMs (task: Task): number {
@@ -129,6 +130,6 @@
   /** @param nowMs - the present @returns what it needs of machines */
   demand (nowMs: number): ServiceDemand {
     const jobs = this.#jobs()
-    return demandOf({ service: this.#name, jobs, links: [...this.workers.values()], limitOf: () => undefined, nowMs, wallMs: nowMs })
+    return computeServiceDemand({ service: this.#name, jobs, workerViews: [...this.workers.values()], limitOf: () => undefined, nowMs, wallMs: nowMs })
   }
 }
--- a/packages/policy/src/lib/duties/dutyWaitMs.ts
+++ b/packages/policy/src/lib/duties/dutyClaimDelayMs.ts
@@ -11,25 +11,25 @@
  */
 
 /** The wait of the strongest host for each duty that it has: a taken duty is heard of within some 20 ms, 0.25 s where the store is slow. */
-const WAIT_A_DUTY_MS = 150
+const DELAY_PER_DUTY_MS = 150
 /** However weak a host is: a duty that nobody else takes is worth more in weak hands than in none. */
-const MOST_WAIT_MS = 900
+const MAX_DELAY_MS = 900
 /** So that not all hosts of a kind try at once. */
-const SPREAD_MS = 120
+const MAX_JITTER_MS = 120
 
 /** A host that could take a duty. @public */
 export interface DutyCandidate {
   /** How much it can bear, in cores, and the most that any host can. */
-  readonly power: number
-  readonly mostPower: number
+  readonly capacityCores: number
+  readonly maxCapacityCores: number
   /** How many duties it has. */
-  readonly heldCount: number
+  readonly heldDuties: number
   /** A number from 0 to 1, fresh for each duty that was seen vacant. */
   readonly random: number
 }
 
 /** @param candidate - a host @returns how long it waits from when it saw the duty vacant: longer, the more duties it would have for its power @public */
-export function dutyWaitMs ({ power, mostPower, heldCount, random }: DutyCandidate): number {
+export function dutyClaimDelayMs ({ capacityCores: power, maxCapacityCores: mostPower, heldDuties: heldCount, random }: DutyCandidate): number {
   const load = (heldCount + 1) * Math.max(1, mostPower / power)
-  return Math.min(MOST_WAIT_MS, WAIT_A_DUTY_MS * (load - 1)) + SPREAD_MS * random
+  return Math.min(MAX_DELAY_MS, DELAY_PER_DUTY_MS * (load - 1)) + MAX_JITTER_MS * random
 }
--- a/packages/policy/src/lib/jobs/JobSpec.ts
+++ b/packages/policy/src/lib/jobs/JobSpec.ts
@@ -95,7 +95,7 @@
 }
 
 /** Finds what no schema sees. @param steps - of a job @returns the field that is wrong and why, `undefined` if none @public */
-export function stepProblem (steps: readonly StepSpec[]): string | undefined {
+export function findDependencyProblem (steps: readonly StepSpec[]): string | undefined {
   const index = steps.findIndex((step, at) => step.dependsOn.some((earlier) => earlier >= at))
   return index < 0 ? undefined : `steps.${index}.dependsOn: names a step that does not come before it`
 }
--- a/packages/policy/src/lib/jobs/JobState.ts
+++ b/packages/policy/src/lib/jobs/JobState.ts
@@ -34,9 +34,9 @@
   /** An order to start it may still be carried out. */
   isUncertain: boolean
   /** An earlier holder wrote down that it would be stopped. */
-  isToStop: boolean
+  shouldStop: boolean
   /** Monotonic; when the worker last listed it. */
-  seenMs: number
+  lastListedMs: number
   /** Last reported progress, and when it last grew. */
   percent: number
   progressMs: number
@@ -51,7 +51,7 @@
   readonly job: Job
   readonly stepIndex: number
   /** Which of the job's scheduled times, 0 without a schedule. */
-  readonly time: number
+  readonly occurrence: number
   readonly index: number
   readonly key: string
   /** JOB.TIME.STEP: what it shares with the other tasks of its step. */
@@ -64,7 +64,7 @@
   checkpoint: string
   readonly runs: Run[]
   /** Instances on which it failed or stood still. */
-  readonly avoid: Set<string>
+  readonly avoidedInstances: Set<string>
   /** Monotonic; since when it could have been placed. */
   waitingSinceMs: number | undefined
 }
@@ -79,10 +79,10 @@
 export interface Job {
   readonly spec: JobSpec
   /** By time, then by step. */
-  readonly times: Map<number, Task[][]>
+  readonly occurrences: Map<number, Task[][]>
   status: JobStatus
   /** Its account had sent more than its share of jobs when it came: others go first. */
-  isExcess: boolean
+  isOverShare: boolean
   /** Of one that failed, `undefined` where an older version ended it. */
   failure: JobFailure | undefined
   /** Wall clock; when it ended. */
@@ -91,7 +91,7 @@
 
 /** @param spec - as accepted @returns the job before anything ran @public */
 export function createJob (spec: JobSpec): Job {
-  return { spec, times: new Map(), status: 'queued', isExcess: false, failure: undefined, endedMs: undefined }
+  return { spec, occurrences: new Map(), status: 'queued', isOverShare: false, failure: undefined, endedMs: undefined }
 }
 
 /** @param job - any, or what is kept of it @returns whether nothing more is to be run @public */
@@ -101,7 +101,7 @@
 export const stepOf = (task: Task): StepSpec => task.job.spec.steps[task.stepIndex] as StepSpec
 
 /** @param job - any @returns how many times its steps run @public */
-export const timesOf = (job: Job): number => job.spec.schedule?.runs ?? 1
+export const occurrenceCount = (job: Job): number => job.spec.schedule?.runs ?? 1
 
 /** @param job - any @param time - from 0 @returns when it is due on the wall clock @public */
 export function dueMs (job: Job, time: number): number {
@@ -111,10 +111,10 @@
 
 /** @param job - any @param time - from 0 @returns the tasks of that time by step, made when first asked for @public */
 export function tasksOf (job: Job, time: number): Task[][] {
-  const known = job.times.get(time)
+  const known = job.occurrences.get(time)
   if (known !== undefined) return known
   const steps = job.spec.steps.map((step, stepIndex) => Array.from({ length: step.taskCount }, (_, index) => createTask(job, stepIndex, time, index)))
-  job.times.set(time, steps)
+  job.occurrences.set(time, steps)
   return steps
 }
 
@@ -124,7 +124,7 @@
   return {
     job,
     stepIndex,
-    time,
+    occurrence: time,
     index,
     key,
     stepKey,
@@ -134,7 +134,7 @@
     crashes: createCrashRecord(),
     checkpoint: '',
     runs: [],
-    avoid: new Set(),
+    avoidedInstances: new Set(),
     waitingSinceMs: undefined
   }
 }
@@ -142,14 +142,14 @@
 /** @param job - any @param taskKey - JOB.TIME.STEP.INDEX @returns the task @public */
 export function findTask (job: Job, taskKey: string): Task | undefined {
   const [, time, step, index] = taskKey.split('.')
-  const isTime = Number.isInteger(Number(time)) && Number(time) >= 0 && Number(time) < timesOf(job)
+  const isTime = Number.isInteger(Number(time)) && Number(time) >= 0 && Number(time) < occurrenceCount(job)
   if (!isTime) return undefined
   return tasksOf(job, Number(time))[Number(step)]?.[Number(index)]
 }
 
 /** @param job - any @returns all tasks that were made so far @public */
 export function allTasks (job: Job): Task[] {
-  return [...job.times.values()].flat(2)
+  return [...job.occurrences.values()].flat(2)
 }
 
 /**
@@ -160,9 +160,9 @@
  * @returns their tasks, step by step
  * @public
  */
-export function openSteps (job: Job, wallMs: number): Task[][] {
+export function listReadySteps (job: Job, wallMs: number): Task[][] {
   const open: Task[][] = []
-  for (let time = 0; time < timesOf(job) && (job.spec.schedule === undefined || dueMs(job, time) <= wallMs); time++) {
+  for (let time = 0; time < occurrenceCount(job) && (job.spec.schedule === undefined || dueMs(job, time) <= wallMs); time++) {
     const steps = tasksOf(job, time)
     const isStepDone = steps.map((tasks) => tasks.every(({ isDone }) => isDone))
     steps.forEach((tasks, index) => {
@@ -174,9 +174,9 @@
 }
 
 /** @param job - any @returns whether every task of every time has ended `done` @public */
-export function isWholeJobDone (job: Job): boolean {
-  for (let time = 0; time < timesOf(job); time++) {
-    if (job.times.get(time)?.every((tasks) => tasks.every(({ isDone }) => isDone)) !== true) return false
+export function isJobDone (job: Job): boolean {
+  for (let time = 0; time < occurrenceCount(job); time++) {
+    if (job.occurrences.get(time)?.every((tasks) => tasks.every(({ isDone }) => isDone)) !== true) return false
   }
   return true
 }
--- a/packages/policy/src/lib/jobs/RunTimes.ts
+++ b/packages/policy/src/lib/jobs/RunTimeEstimator.ts
@@ -8,18 +8,18 @@
 /** Weight of a new sample: about the last ten runs count. */
 const SAMPLE_WEIGHT = 0.15
 /** A step without a guess and without samples; about the mean of the tasks of all services known so far, in ms. */
-const DEFAULT_MS = 1000
+const DEFAULT_RUN_MS = 1000
 /** Images remembered; the oldest are forgotten. */
 const MAX_IMAGES = 2000
 
-interface Learned { meanMs: number, samples: number }
+interface Estimate { meanMs: number, samples: number }
 
 /** Run times by image. @public */
-export class RunTimes {
-  readonly #images = new Map<string, Learned>()
+export class RunTimeEstimator {
+  readonly #images = new Map<string, Estimate>()
 
   /** @param step - whose task ended `done` @param tookMs - from its start */
-  note (step: StepSpec, tookMs: number): void {
+  addSample (step: StepSpec, tookMs: number): void {
     if (step.image === '' || step.isLasting) return
     const known = this.#images.get(step.image)
     if (known === undefined) {
@@ -34,11 +34,11 @@
 
   /** @param step - any @returns how long one of its tasks is expected to run */
   expectedMs (step: StepSpec): number {
-    return this.#images.get(step.image)?.meanMs ?? (step.estimateMs > 0 ? step.estimateMs : DEFAULT_MS)
+    return this.#images.get(step.image)?.meanMs ?? (step.estimateMs > 0 ? step.estimateMs : DEFAULT_RUN_MS)
   }
 
   /** @param step - any @returns whether the expectation rests on runs of its image */
-  isLearned (step: StepSpec): boolean {
+  hasSamples (step: StepSpec): boolean {
     return this.#images.has(step.image)
   }
 }
--- a/packages/policy/src/lib/jobs/crashes.ts
+++ b/packages/policy/src/lib/jobs/crashes.ts
@@ -21,37 +21,37 @@
  *
  * @public
  */
-export type LossKind = 'crash' | 'shared' | 'beside' | 'silent' | 'unclear' | 'cleared'
+export type WorkerLossKind = 'crash' | 'shared' | 'beside' | 'silent' | 'unclear' | 'cleared'
 
 /** What each counts. @public */
-export const LOSS_POINTS: Readonly<Record<LossKind, number>> = { crash: 2, shared: 1, beside: 1, silent: 1, unclear: 1, cleared: 0 }
+export const CRASH_POINTS: Readonly<Record<WorkerLossKind, number>> = { crash: 2, shared: 1, beside: 1, silent: 1, unclear: 1, cleared: 0 }
 
 /** The third crash, or the fifth end of a doubtful cause: the users allow two more starts after three crashes. */
 const GIVE_UP_POINTS = 5
 /** The second crash is enough where both workers ended soon after the start, and the task's job was alone on the second. */
-const CERTAIN_POINTS = 4
+const CERTAIN_GIVE_UP_POINTS = 4
 /** From the first crash on a task is placed apart from other jobs, and gets no copies; so is one whose worker ended soon after its start. */
 const SUSPECT_POINTS = 2
 /** Crashing tasks end their worker some 10 ms after their start, and that is known 90 to 350 ms later. @public */
-export const SOON_MS = 500
+export const EARLY_LOSS_MS = 500
 /** One that lasts, and is still at work after so long, does not end the workers that start it. */
-const SURVIVED_MS = 3000
+const SURVIVAL_MS = 3000
 /** Before a task is given up: others of a rack or zone that lost power are known to be gone within this time. */
-const VERDICT_MS = 300
+const GIVE_UP_DELAY_MS = 300
 
 /** @param task - any @returns whether it may end the workers that start it @public */
-export const isSuspect = ({ crashes }: Task): boolean => crashes.points >= SUSPECT_POINTS || crashes.hasEndedSoon
+export const isCrashSuspect = ({ crashes }: Task): boolean => crashes.points >= SUSPECT_POINTS || crashes.hasEarlyLoss
 
 /** @param run - any @param nowMs - monotonic @returns whether its worker may yet end of it, so that no other job should be there @public */
-export const mayCrash = (run: Run, nowMs: number): boolean => isSuspect(run.task) && !hasSurvived(run, nowMs)
+export const mayCrashWorker = (run: Run, nowMs: number): boolean => isCrashSuspect(run.task) && !hasSurvived(run, nowMs)
 
 /** `wait`: what took the worker away is not known yet, and the task is not placed meanwhile. @public */
-export type Verdict = 'place' | 'wait' | 'give-up'
+export type PlacementDecision = 'place' | 'wait' | 'give-up'
 
 /** @param task - that is not running @param nowMs - monotonic @returns what to do with it @public */
-export function judgeTask ({ crashes: { points, isLastCertain, hasOnlySoon, lastMs } }: Task, nowMs: number): Verdict {
-  if (points < (isLastCertain && hasOnlySoon ? CERTAIN_POINTS : GIVE_UP_POINTS)) return 'place'
-  return lastMs !== undefined && nowMs - lastMs < VERDICT_MS ? 'wait' : 'give-up'
+export function decidePlacement ({ crashes: { points, isLastLossCertain, hasOnlyEarlyLosses, lastLossMs } }: Task, nowMs: number): PlacementDecision {
+  if (points < (isLastLossCertain && hasOnlyEarlyLosses ? CERTAIN_GIVE_UP_POINTS : GIVE_UP_POINTS)) return 'place'
+  return lastLossMs !== undefined && nowMs - lastLossMs < GIVE_UP_DELAY_MS ? 'wait' : 'give-up'
 }
 
 /**
@@ -62,7 +62,7 @@
  * @returns whether anything was held against it
  * @public
  */
-export function clearIfSurvived (run: Run, nowMs: number): boolean {
+export function clearCrashRecordIfSurvived (run: Run, nowMs: number): boolean {
   const { task } = run
   if (task.crashes.points === 0 || !stepOf(task).isLasting || !hasSurvived(run, nowMs)) return false
   task.crashes = createCrashRecord()
@@ -70,5 +70,5 @@
 }
 
 function hasSurvived ({ startedMs }: Run, nowMs: number): boolean {
-  return startedMs !== undefined && nowMs - startedMs >= SURVIVED_MS
+  return startedMs !== undefined && nowMs - startedMs >= SURVIVAL_MS
 }
--- a/packages/policy/src/lib/jobs/rankJobs.ts
+++ b/packages/policy/src/lib/jobs/rankStep.ts
@@ -9,7 +9,7 @@
  */
 import type { QueueConfiguration } from '@quillscale/ports'
 import { dueMs, stepOf, type Job, type Task } from './JobState.js'
-import type { RunTimes } from './RunTimes.js'
+import type { RunTimeEstimator } from './RunTimeEstimator.js'
 
 /** Up to this multiple of its objective a job still earns something; from the users' rules page. */
 const LATE_FACTOR = 3
@@ -20,24 +20,24 @@
  *
  * @public
  */
-export const TIERS = { lasting: 0, filler: 1, inTime: 2, late: 3, excess: 4, tooLate: 5 } as const
+export const RANK_TIERS = { lasting: 0, filler: 1, inTime: 2, late: 3, overShare: 4, pastUse: 5 } as const
 /** One of them. @public */
-export type Tier = typeof TIERS[keyof typeof TIERS]
+export type RankTier = typeof RANK_TIERS[keyof typeof RANK_TIERS]
 
 /** Where a step stands in the order. @public */
 export interface StepRank {
-  readonly tier: Tier
+  readonly tier: RankTier
   readonly priority: number
   /** Share of its job's work that is done or placed. */
-  readonly begunShare: number
+  readonly placedShare: number
   /** What is left of that work, in thousandths of a core times ms. */
   readonly workLeft: number
   /** By when it should start. */
-  readonly byMs: number
+  readonly startByMs: number
 }
 
 /** @param job - any @param times - learned @param isLeft - which steps count @returns its longest chain of work */
-function chainMs (job: Job, times: RunTimes, isLeft: (stepIndex: number) => boolean): number {
+function criticalPathMs (job: Job, times: RunTimeEstimator, isLeft: (stepIndex: number) => boolean): number {
   const endMs: number[] = []
   job.spec.steps.forEach((step, index) => {
     const startMs = Math.max(0, ...step.dependsOn.map((earlier) => endMs[earlier] ?? 0))
@@ -47,7 +47,7 @@
 }
 
 /** @returns the work of those tasks of a job that a condition holds for; steps that nobody asked for yet count whole */
-function workOf (job: Job, steps: readonly Task[][], times: RunTimes, isCounted: (task: Task) => boolean): number {
+function sumWork (job: Job, steps: readonly Task[][], times: RunTimeEstimator, isCounted: (task: Task) => boolean): number {
   return job.spec.steps.reduce((sum, step, index) => {
     const tasks = steps[index]?.filter(isCounted).length ?? step.taskCount
     return sum + (step.isLasting ? 0 : tasks * step.cpuMillis * times.expectedMs(step))
@@ -64,25 +64,31 @@
  * @returns its place
  * @public
  */
-export function rankStep (task: Task, queue: QueueConfiguration | undefined, times: RunTimes, wallMs: number): StepRank {
+export function rankStep (task: Task, queue: QueueConfiguration | undefined, times: RunTimeEstimator, wallMs: number): StepRank {
   const { job } = task
   const step = stepOf(task)
   const priority = queue?.priority ?? Number.MAX_SAFE_INTEGER
-  const startMs = dueMs(job, task.time)
-  if (step.isLasting) return { tier: step.isFiller ? TIERS.filler : TIERS.lasting, priority, begunShare: 0, workLeft: 0, byMs: startMs }
-  const steps = job.times.get(task.time) ?? []
-  const objectiveMs = (queue?.stretch ?? 1) * chainMs(job, times, () => true) + (queue?.targetLatencyMs ?? 0)
-  const leftMs = chainMs(job, times, (index) => steps[index]?.every(({ isDone }) => isDone) !== true)
-  const workLeft = workOf(job, steps, times, ({ isDone, runs }) => !isDone && runs.length === 0)
-  const begunShare = 1 - workLeft / Math.max(1, workOf(job, steps, times, () => true))
+  const startMs = dueMs(job, task.occurrence)
+  if (step.isLasting) return { tier: step.isFiller ? RANK_TIERS.filler : RANK_TIERS.lasting, priority, placedShare: 0, workLeft: 0, startByMs: startMs }
+  const steps = job.occurrences.get(task.occurrence) ?? []
+  const objectiveMs = (queue?.stretch ?? 1) * criticalPathMs(job, times, () => true) + (queue?.targetLatencyMs ?? 0)
+  const leftMs = criticalPathMs(job, times, (index) => steps[index]?.every(({ isDone }) => isDone) !== true)
+  const workLeft = sumWork(job, steps, times, ({ isDone, runs }) => !isDone && runs.length === 0)
+  const placedShare = 1 - workLeft / Math.max(1, sumWork(job, steps, times, () => true))
   const tier = tierOf(wallMs + leftMs, startMs, objectiveMs)
-  return { tier: job.isExcess && tier < TIERS.excess ? TIERS.excess : tier, priority, begunShare, workLeft, byMs: startMs + objectiveMs - leftMs }
+  return {
+    tier: job.isOverShare && tier < RANK_TIERS.overShare ? RANK_TIERS.overShare : tier,
+    priority,
+    placedShare,
+    workLeft,
+    startByMs: startMs + objectiveMs - leftMs
+  }
 }
 
 /** @param earliestEndMs - if it had all the room @param startMs - from when it counts @param objectiveMs - in time until then */
-function tierOf (earliestEndMs: number, startMs: number, objectiveMs: number): Tier {
-  if (earliestEndMs <= startMs + objectiveMs) return TIERS.inTime
-  return earliestEndMs <= startMs + LATE_FACTOR * objectiveMs ? TIERS.late : TIERS.tooLate
+function tierOf (earliestEndMs: number, startMs: number, objectiveMs: number): RankTier {
+  if (earliestEndMs <= startMs + objectiveMs) return RANK_TIERS.inTime
+  return earliestEndMs <= startMs + LATE_FACTOR * objectiveMs ? RANK_TIERS.late : RANK_TIERS.pastUse
 }
 
 /**
@@ -94,5 +100,6 @@
  * @public
  */
 export function compareRanks (a: StepRank, b: StepRank): number {
-  return a.tier - b.tier || a.priority - b.priority || (a.tier === TIERS.tooLate ? a.workLeft - b.workLeft : b.begunShare - a.begunShare) || a.byMs - b.byMs
+  return a.tier - b.tier || a.priority - b.priority ||
+    (a.tier === RANK_TIERS.pastUse ? a.workLeft - b.workLeft : b.placedShare - a.placedShare) || a.startByMs - b.startByMs
 }
--- a/packages/policy/src/lib/machines/ServiceNeeds.ts
+++ b/packages/policy/src/lib/machines/MachineNeedTracker.ts
@@ -6,22 +6,22 @@
 import { machinesNeeded, type ServiceDemand } from './planPools.js'
 
 /** Room that was needed so lately is not given back. @public */
-export const NEED_MEMORY_MS = 1200
+export const NEED_WINDOW_MS = 1200
 /** Growth of a need is measured over this, and extended by how long a move takes until the machine works; at most by this factor. */
-const GROWTH_MS = 1000
-const MOVE_LEAD_MS = 1500
-const MOST_GROWTH = 2
+const GROWTH_WINDOW_MS = 1000
+const MOVE_LEAD_TIME_MS = 1500
+const MAX_GROWTH_FACTOR = 2
 
 interface Need { readonly machines: number, readonly atMs: number }
 
 /** The needs. @public */
-export class ServiceNeeds {
+export class MachineNeedTracker {
   readonly #needs = new Map<string, Need[]>()
 
   /** Takes note of the present needs. @param demands - present @param nowMs - monotonic @returns by service, the most that was needed lately */
-  recent (demands: readonly ServiceDemand[], nowMs: number): Map<string, number> {
+  trackRecentPeak (demands: readonly ServiceDemand[], nowMs: number): Map<string, number> {
     return new Map(demands.map((demand) => {
-      const needs = (this.#needs.get(demand.service) ?? []).filter(({ atMs }) => nowMs - atMs < NEED_MEMORY_MS)
+      const needs = (this.#needs.get(demand.service) ?? []).filter(({ atMs }) => nowMs - atMs < NEED_WINDOW_MS)
       needs.push({ machines: machinesNeeded(demand), atMs: nowMs })
       this.#needs.set(demand.service, needs)
       return [demand.service, Math.max(...needs.map(({ machines }) => machines))]
@@ -29,13 +29,13 @@
   }
 
   /** @param demands - present, taken note of @param nowMs - monotonic @returns by service, what a growing need will be when a machine ordered now works */
-  coming (demands: readonly ServiceDemand[], nowMs: number): Map<string, number> {
+  predictNeed (demands: readonly ServiceDemand[], nowMs: number): Map<string, number> {
     return new Map(demands.map(({ service }) => {
       const needs = this.#needs.get(service) ?? []
       const last = needs.at(-1)?.machines ?? 0
-      const before = needs.find(({ atMs }) => nowMs - atMs <= GROWTH_MS)?.machines ?? last
-      const growth = Math.max(0, last - before) / GROWTH_MS
-      return [service, Math.min(Math.ceil(last * MOST_GROWTH), Math.round(last + growth * MOVE_LEAD_MS))]
+      const before = needs.find(({ atMs }) => nowMs - atMs <= GROWTH_WINDOW_MS)?.machines ?? last
+      const growth = Math.max(0, last - before) / GROWTH_WINDOW_MS
+      return [service, Math.min(Math.ceil(last * MAX_GROWTH_FACTOR), Math.round(last + growth * MOVE_LEAD_TIME_MS))]
     }))
   }
 }
--- a/packages/policy/src/lib/machines/demandOf.ts
+++ b/packages/policy/src/lib/machines/computeServiceDemand.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { AccountName } from '@quillscale/ports'
-import { hasEnded, openSteps, stepOf, type Job, type Task } from '../jobs/JobState.js'
+import { hasEnded, listReadySteps, stepOf, type Job, type Task } from '../jobs/JobState.js'
 import { cpuDemandOf } from '../placement/placeTasks.js'
 import { NO_RESOURCES, plus, RESOURCE_KINDS, resourcesOf, times, type Resources } from '../quotas/resources.js'
 import { LASTING_RUN_WEIGHT, type ServiceDemand } from './planPools.js'
@@ -14,7 +14,7 @@
 export interface DemandSources {
   readonly service: string
   readonly jobs: readonly Job[]
-  readonly links: readonly WorkerView[]
+  readonly workerViews: readonly WorkerView[]
   /** What each account may have running, `undefined` without a limit: no machine is needed for what exceeds it. */
   readonly limitOf: (account: AccountName) => Resources | undefined
   /** Monotonic. */
@@ -23,17 +23,17 @@
 }
 
 /** Lasting tasks are spread over so many machines at least: one that is lost takes only a part of them. */
-const LEAST_MACHINES = 2
+const MIN_MACHINES = 2
 /** For a service none of whose workers is known: the smallest machine known so far, in thousandths of a core. */
 const DEFAULT_MACHINE_MILLIS = 16_000
 
 /** @param sources - jobs and workers of a service @returns its demand @public */
-export function demandOf ({ service, jobs, links, limitOf, nowMs, wallMs }: DemandSources): ServiceDemand {
-  const wanted = new WantedByAccount(limitOf)
-  let leastMachines = LEAST_MACHINES
+export function computeServiceDemand ({ service, jobs, workerViews, limitOf, nowMs, wallMs }: DemandSources): ServiceDemand {
+  const wanted = new DemandByAccount(limitOf)
+  let leastMachines = MIN_MACHINES
   for (const job of jobs) {
     if (hasEnded(job)) continue
-    for (const step of openSteps(job, wallMs)) {
+    for (const step of listReadySteps(job, wallMs)) {
       const first = step[0]
       if (first === undefined) continue
       const { isLasting, maxPerWorker, taskCount } = stepOf(first)
@@ -41,23 +41,23 @@
       if (isLasting && maxPerWorker > 0) leastMachines = Math.max(leastMachines, Math.ceil(taskCount / maxPerWorker) + 1)
     }
   }
-  const open = links.filter((link) => link.takesWork && link.isAnswering(nowMs))
+  const open = workerViews.filter((workerView) => workerView.takesWork && workerView.isAnswering(nowMs))
   const sizes = open.map(({ instance }) => instance.capacity.cpuMillis)
   return {
     service,
     wantedMillis: wanted.cpuMillis(),
     leastMachines,
     machineMillis: sizes.length === 0 ? DEFAULT_MACHINE_MILLIS : sizes.reduce((sum, size) => sum + size, 0) / sizes.length,
-    runsByMachine: new Map(open.filter(({ instance }) => instance.machineId !== '').map((link) => [link.instance.machineId, weightOf(link)]))
+    runsByMachine: new Map(open.filter(({ instance }) => instance.machineId !== '').map((workerView) => [workerView.instance.machineId, weightOf(workerView)]))
   }
 }
 
-interface AccountWish { cpuMillis: number, resources: Resources }
+interface AccountDemand { cpuMillis: number, resources: Resources }
 
 /** Sums up what open tasks want, each account's no higher than it may have. */
-class WantedByAccount {
+class DemandByAccount {
   readonly #limitOf: DemandSources['limitOf']
-  readonly #wishes = new Map<AccountName | undefined, AccountWish>()
+  readonly #wishes = new Map<AccountName | undefined, AccountDemand>()
 
   constructor (limitOf: DemandSources['limitOf']) {
     this.#limitOf = limitOf
@@ -80,6 +80,6 @@
   }
 }
 
-function weightOf (link: WorkerView): number {
-  return [...link.runs.values()].reduce((sum, run) => sum + (stepOf(run.task).isLasting ? LASTING_RUN_WEIGHT : 1), 0)
+function weightOf (workerView: WorkerView): number {
+  return [...workerView.runs.values()].reduce((sum, run) => sum + (stepOf(run.task).isLasting ? LASTING_RUN_WEIGHT : 1), 0)
 }
--- a/packages/policy/src/lib/machines/planVacate.ts
+++ b/packages/policy/src/lib/machines/planDrain.ts
@@ -6,15 +6,15 @@
 import { stepOf, type Run, type Task } from '../jobs/JobState.js'
 
 /** A task that neither lasts nor saves its progress may finish; after this it is stopped. The longest tasks that are declared run 4.2 s. */
-const FINISH_MS = 4500
+const FINISH_TIMEOUT_MS = 4500
 /** A lasting task is at work when its percent is this. */
-const AT_WORK_PERCENT = 100
+const READY_PERCENT = 100
 /** A report that is older says nothing: workers are asked at least each second. */
 const REPORT_VALID_MS = 1600
 
 /** @param task - that lasts @param nowMs - monotonic @returns whether a worker has lately reported it at work @public */
-export function isAtWork (task: Task, nowMs: number): boolean {
-  return task.runs.some((run) => run.phase === 'running' && run.percent >= AT_WORK_PERCENT && nowMs - run.seenMs < REPORT_VALID_MS)
+export function isReportedReady (task: Task, nowMs: number): boolean {
+  return task.runs.some((run) => run.phase === 'running' && run.percent >= READY_PERCENT && nowMs - run.lastListedMs < REPORT_VALID_MS)
 }
 
 /**
@@ -26,10 +26,10 @@
  * @returns whether so few others are away that its step's bound holds
  * @public
  */
-export function mayBeAway (task: Task, step: readonly Task[], nowMs: number): boolean {
+export function isDisruptionAllowed (task: Task, step: readonly Task[], nowMs: number): boolean {
   const { maxAway } = stepOf(task)
   if (maxAway === undefined) return true
-  const othersAway = step.filter((other) => other !== task && !isAtWork(other, nowMs)).length
+  const othersAway = step.filter((other) => other !== task && !isReportedReady(other, nowMs)).length
   return othersAway < maxAway
 }
 
@@ -42,12 +42,12 @@
  * @returns those to stop; lasting tasks one at a time within each step
  * @public
  */
-export function planVacate (runs: readonly Run[], sinceMs: number, nowMs: number): Run[] {
+export function planDrain (runs: readonly Run[], sinceMs: number, nowMs: number): Run[] {
   const passing = runs.filter((run) => {
     const step = stepOf(run.task)
-    return run.phase === 'running' && !step.isLasting && (step.isCheckpointing || nowMs - sinceMs > FINISH_MS)
+    return run.phase === 'running' && !step.isLasting && (step.isCheckpointing || nowMs - sinceMs > FINISH_TIMEOUT_MS)
   })
-  return [...passing, ...planLeave(runs, nowMs)]
+  return [...passing, ...planLeavingWorkerDrain(runs, nowMs)]
 }
 
 /**
@@ -59,12 +59,12 @@
  * @returns lasting tasks to stop, one at a time within each step
  * @public
  */
-export function planLeave (runs: readonly Run[], nowMs: number): Run[] {
+export function planLeavingWorkerDrain (runs: readonly Run[], nowMs: number): Run[] {
   const touchedSteps = new Set<readonly Task[]>()
   return runs.filter((run) => {
     if (run.phase !== 'running' || !stepOf(run.task).isLasting) return false
-    const tasks = run.task.job.times.get(run.task.time)?.[run.task.stepIndex] ?? []
-    if (touchedSteps.has(tasks) || !mayBeAway(run.task, tasks, nowMs)) return false
+    const tasks = run.task.job.occurrences.get(run.task.occurrence)?.[run.task.stepIndex] ?? []
+    if (touchedSteps.has(tasks) || !isDisruptionAllowed(run.task, tasks, nowMs)) return false
     touchedSteps.add(tasks)
     return true
   })
--- a/packages/policy/src/lib/placement/WorkerHealth.ts
+++ b/packages/policy/src/lib/placement/WorkerHealth.ts
@@ -5,22 +5,22 @@
  */
 
 /** Different jobs that must fail on it in a row: a single bad job fails on every worker. */
-const FAILED_JOBS_IN_ROW = 2
+const MIN_FAILED_JOBS = 2
 /** First time apart; twice as long each further time. Workers that fail what they start do so for 5 to 8 seconds. */
-const FIRST_APART_MS = 2000
-const MAX_APART_MS = 8000
+const FIRST_QUARANTINE_MS = 2000
+const MAX_QUARANTINE_MS = 8000
 
 /** One worker's record. @public */
 export class WorkerHealth {
   readonly #failedJobs = new Set<string>()
-  #apartUntilMs = -Infinity
-  #nextApartMs = FIRST_APART_MS
+  #quarantinedUntilMs = -Infinity
+  #nextQuarantineMs = FIRST_QUARANTINE_MS
 
   /** A run ended `done` there. */
   succeeded (): void {
     this.#failedJobs.clear()
-    this.#nextApartMs = FIRST_APART_MS
-    this.#apartUntilMs = -Infinity
+    this.#nextQuarantineMs = FIRST_QUARANTINE_MS
+    this.#quarantinedUntilMs = -Infinity
   }
 
   /**
@@ -34,20 +34,20 @@
   failed (jobId: string, failedElsewhere: boolean, nowMs: number): boolean {
     if (failedElsewhere) return false
     this.#failedJobs.add(jobId)
-    if (this.#failedJobs.size < FAILED_JOBS_IN_ROW) return false
-    this.setApart(nowMs)
+    if (this.#failedJobs.size < MIN_FAILED_JOBS) return false
+    this.quarantine(nowMs)
     return true
   }
 
   /** @param nowMs - monotonic; no work for a while from now on */
-  setApart (nowMs: number): void {
+  quarantine (nowMs: number): void {
     this.#failedJobs.clear()
-    this.#apartUntilMs = nowMs + this.#nextApartMs
-    this.#nextApartMs = Math.min(MAX_APART_MS, this.#nextApartMs * 2)
+    this.#quarantinedUntilMs = nowMs + this.#nextQuarantineMs
+    this.#nextQuarantineMs = Math.min(MAX_QUARANTINE_MS, this.#nextQuarantineMs * 2)
   }
 
   /** @param nowMs - monotonic @returns whether it gets no work */
-  isApart (nowMs: number): boolean {
-    return nowMs < this.#apartUntilMs
+  isQuarantined (nowMs: number): boolean {
+    return nowMs < this.#quarantinedUntilMs
   }
 }
--- a/packages/policy/src/lib/placement/WorkerRoom.ts
+++ b/packages/policy/src/lib/placement/WorkerRoom.ts
@@ -16,7 +16,7 @@
   memoryMb: number
   gpus: number
   /** Lasting tasks there that must answer in time. */
-  servingTasks: number
+  latencySensitiveTasks: number
   fillers: number
   /** Runs of each step there, by {@link Task.stepKey}. */
   readonly runsByStep: Map<string, number>
@@ -25,7 +25,7 @@
   /** Runs of tasks that last. */
   lastingRuns: number
   /** The job that this worker is left to, since a task of it may end the worker. */
-  leftTo: Job | undefined
+  reservedFor: Job | undefined
 }
 
 /** Tasks of one step whose turn has come, in the order of their importance. @public */
--- a/packages/policy/src/lib/placement/planPaces.ts
+++ b/packages/policy/src/lib/placement/planPaces.ts
@@ -6,13 +6,13 @@
 import { stepOf, type Run } from '../jobs/JobState.js'
 
 /** Above this share of its target a serving task's tail is too near; below the lower one there is room. Between, nothing changes. */
-const NEAR_SHARE = 0.85
-const CALM_SHARE = 0.6
+const THROTTLE_ABOVE_SHARE = 0.85
+const RAISE_BELOW_SHARE = 0.6
 /** Fillers are cut to this share at once and come back in steps, as congestion controls do. */
 const CUT_FACTOR = 0.5
 const RAISE_PERCENT = 10
 /** Below this they are stopped from working altogether: what is left would not be worth the disturbance. */
-const LEAST_PERCENT = 10
+const MIN_PERCENT = 10
 
 /** A change of pace. @public */
 export interface PaceChange {
@@ -33,8 +33,8 @@
   const shares = runs.filter((run) => run.phase === 'running' && stepOf(run.task).targetTailMs > 0)
     .map((run) => run.load / stepOf(run.task).targetTailMs)
   const worst = Math.max(0, ...shares)
-  if (worst > NEAR_SHARE) return changesTo(fillers, (percent) => percent * CUT_FACTOR < LEAST_PERCENT ? 0 : Math.floor(percent * CUT_FACTOR))
-  if (worst < CALM_SHARE) return changesTo(fillers, (percent) => Math.min(100, percent + RAISE_PERCENT))
+  if (worst > THROTTLE_ABOVE_SHARE) return changesTo(fillers, (percent) => percent * CUT_FACTOR < MIN_PERCENT ? 0 : Math.floor(percent * CUT_FACTOR))
+  if (worst < RAISE_BELOW_SHARE) return changesTo(fillers, (percent) => Math.min(100, percent + RAISE_PERCENT))
   return []
 }
 
--- a/packages/policy/src/lib/placement/stillFits.ts
+++ b/packages/policy/src/lib/placement/stillFits.ts
@@ -11,14 +11,14 @@
  * A placement waits for the store, 10 ms as a rule and seconds at times. Workers that do not refuse what is too much would be overloaded by
  * a start that comes after they have said how much less they have now.
  *
- * @param link - the worker as it describes itself now
+ * @param workerView - the worker as it describes itself now
  * @param run - placed there, in phase `recording`
  * @returns whether it fits beside all that was ordered there, runs that are being stopped among it
  * @public
  */
-export function stillFits (link: WorkerView, run: Run): boolean {
-  const room = { ...link.instance.capacity }
-  for (const other of link.runs.values()) {
+export function stillFits (workerView: WorkerView, run: Run): boolean {
+  const room = { ...workerView.instance.capacity }
+  for (const other of workerView.runs.values()) {
     if (other !== run && other.phase === 'recording') continue
     const step = stepOf(other.task)
     room.cpuMillis -= cpuDemandOf(step)
--- a/packages/policy/src/lib/quotas/ShareMeter.ts
+++ b/packages/policy/src/lib/quotas/AccountTokenBuckets.ts
@@ -12,11 +12,11 @@
 const BURST_S = 1
 const MS_PER_S = 1000
 
-interface Bucket { jobs: number, atMs: number }
+interface TokenBucket { jobs: number, atMs: number }
 
 /** The meter. @public */
-export class ShareMeter {
-  readonly #buckets = new Map<AccountName, Bucket>()
+export class AccountTokenBuckets {
+  readonly #buckets = new Map<AccountName, TokenBucket>()
 
   /**
    * Counts a job.
@@ -26,7 +26,7 @@
    * @param atMs - time of day when it was accepted; a job that was accepted before one that is counted already is taken for as late
    * @returns whether it is beyond the share
    */
-  isExcess (account: AccountName, weight: number, atMs: number): boolean {
+  isOverShare (account: AccountName, weight: number, atMs: number): boolean {
     const most = Math.max(1, weight * BURST_S)
     const bucket = this.#buckets.get(account) ?? { jobs: most, atMs }
     this.#buckets.set(account, bucket)
--- a/packages/policy/src/lib/quotas/QuotaRound.ts
+++ b/packages/policy/src/lib/quotas/QuotaAdmission.ts
@@ -10,7 +10,7 @@
 import { fitsWithin, minus, NO_RESOURCES, plus, type Resources, resourcesOf, times } from './resources.js'
 
 /** What an account may have running in this service. @public */
-export interface AccountRoom {
+export interface AccountQuota {
   /** All that runs or may run of it here. */
   readonly used: Resources
   /** Tasks start only while `used` stays within this. */
@@ -28,29 +28,29 @@
 }
 
 /** Accounts without a limit have no room: `undefined`. @public */
-export type AccountRooms = (account: AccountName) => AccountRoom | undefined
+export type AccountQuotaLookup = (account: AccountName) => AccountQuota | undefined
 
 /** The round. @public */
-export class QuotaRound {
+export class QuotaAdmission {
   /** Accounts of which something waits for a grant. */
   readonly shortages = new Map<AccountName, QuotaShortage>()
   /** Tasks that wait for a grant. */
   readonly held = new Set<Task>()
   /** Of {@link held}, the first of each step that can never run as its account's limit is. */
   readonly oversized: Task[] = []
-  readonly #roomOf: AccountRooms
+  readonly #roomOf: AccountQuotaLookup
   readonly #left = new Map<AccountName, Resources>()
 
   /** @param roomOf - what each account may have */
-  constructor (roomOf: AccountRooms) {
+  constructor (roomOf: AccountQuotaLookup) {
     this.#roomOf = roomOf
   }
 
   /** @param tasks - of one step @returns whether at least one of them, or the whole gang, may start now */
-  hasRoomFor (tasks: readonly Task[]): boolean {
+  hasQuotaFor (tasks: readonly Task[]): boolean {
     const first = tasks[0]
     const room = first === undefined ? undefined : this.#roomFor(first)
-    return first === undefined || room === undefined || fitsWithin(chunkOf(first, tasks.length), room.left)
+    return first === undefined || room === undefined || fitsWithin(admissionUnitOf(first, tasks.length), room.left)
   }
 
   /**
@@ -63,25 +63,25 @@
     const first = tasks[0]
     const room = first === undefined ? undefined : this.#roomFor(first)
     if (first === undefined || room === undefined) return tasks
-    const chunk = chunkOf(first, tasks.length)
+    const chunk = admissionUnitOf(first, tasks.length)
     if (!fitsWithin(chunk, room.limit)) {
       this.oversized.push(first)
       for (const task of tasks) this.held.add(task)
       return []
     }
     const isGang = stepOf(first).isGang
-    const count = isGang ? (fitsWithin(chunk, room.left) ? tasks.length : 0) : countOf(resourcesOf(stepOf(first)), room.left, tasks.length)
+    const count = isGang ? (fitsWithin(chunk, room.left) ? tasks.length : 0) : countFitting(resourcesOf(stepOf(first)), room.left, tasks.length)
     this.#hold(room.account, tasks.slice(count), chunk)
     return tasks.slice(0, count)
   }
 
   /** Takes what was placed off its account's room. @param task - that was placed */
-  take (task: Task): void {
+  consume (task: Task): void {
     const room = this.#roomFor(task)
     if (room !== undefined) this.#left.set(room.account, minus(room.left, resourcesOf(stepOf(task))))
   }
 
-  #roomFor ({ job }: Task): RoomLeft | undefined {
+  #roomFor ({ job }: Task): QuotaLeft | undefined {
     const account = job.spec.owner?.account
     const room = account === undefined ? undefined : this.#roomOf(account)
     if (account === undefined || room === undefined) return undefined
@@ -98,15 +98,15 @@
   }
 }
 
-interface RoomLeft { readonly account: AccountName, readonly limit: Resources, readonly left: Resources }
+interface QuotaLeft { readonly account: AccountName, readonly limit: Resources, readonly left: Resources }
 
 /** Members of a gang start together or not at all. */
-function chunkOf (first: Task, taskCount: number): Resources {
+function admissionUnitOf (first: Task, taskCount: number): Resources {
   return stepOf(first).isGang ? times(resourcesOf(stepOf(first)), taskCount) : resourcesOf(stepOf(first))
 }
 
 /** How many tasks of a size fit, at most so many. */
-function countOf (each: Resources, left: Resources, mostTasks: number): number {
+function countFitting (each: Resources, left: Resources, mostTasks: number): number {
   let count = 0
   while (count < mostTasks && fitsWithin(times(each, count + 1), left)) count++
   return count
--- a/packages/policy/src/lib/quotas/planGrant.ts
+++ b/packages/policy/src/lib/quotas/planGrant.ts
@@ -36,7 +36,7 @@
 }
 
 /** Grants grow to this multiple of what is wanted: a burst doubles in a moment, and each growth costs a write. */
-const GROWTH = 2
+const GROWTH_FACTOR = 2
 /** Share of the limit that each service may keep without work: a turn's first jobs start without waiting for the store. */
 const IDLE_SHARE = 1 / 8
 
@@ -60,22 +60,23 @@
   const free = mapResources((kind) => Math.max(0, limit[kind] - sumGranted(others)[kind]))
   const isOver = !fitsWithin(plus(own.granted, sumGranted(others)), limit)
   if (!isOver && !others.some(isLacking)) {
-    const wished = most(times(own.wanted, GROWTH), mapResources((kind) => Number.isFinite(limit[kind]) ? Math.floor(limit[kind] * IDLE_SHARE) : 0))
-    const granted = most(own.granted, least(wished, free))
+    const desired = most(times(own.wanted, GROWTH_FACTOR), mapResources((kind) => Number.isFinite(limit[kind]) ? Math.floor(limit[kind] * IDLE_SHARE) : 0))
+    const granted = most(own.granted, least(desired, free))
     return { granted, usable: granted }
   }
   // What exceeds the limit is given up by the record alone: services that divide different claims could keep more than there is, for good.
-  const share = shareOf(isOver ? recorded : own, others, limit)
+  const share = fairShareOf(isOver ? recorded : own, others, limit)
   const target = most(own.used, least(share, own.wanted))
   if (isOver) return { granted: least(own.granted, target), usable: NO_RESOURCES }
   const granted = mapResources((kind) => target[kind] <= own.granted[kind] ? target[kind] : Math.max(own.granted[kind], Math.min(target[kind], free[kind])))
-  return { granted, usable: least(least(granted, share), leftByElders(own, others, limit)) }
+  return { granted, usable: least(least(granted, share), leftByEarlierClaims(own, others, limit)) }
 }
 
 /** A service that runs nothing gets its first task before those that run something, or began to wait later, start another. */
-function leftByElders (own: OwnClaim, others: readonly QuotaClaim[], limit: Resources): Resources {
-  const isElder = (other: QuotaClaim): boolean => isStarving(other) && fitsWithin(other.first, limit) && (!isStarving(own) || byTurn(other, own) < 0)
-  const reserved = others.reduce((sum, other) => plus(sum, isElder(other) ? most(other.first, other.granted) : other.granted), NO_RESOURCES)
+function leftByEarlierClaims (own: OwnClaim, others: readonly QuotaClaim[], limit: Resources): Resources {
+  const hasPrecedence = (other: QuotaClaim): boolean =>
+    isStarving(other) && fitsWithin(other.first, limit) && (!isStarving(own) || compareWaitingSince(other, own) < 0)
+  const reserved = others.reduce((sum, other) => plus(sum, hasPrecedence(other) ? most(other.first, other.granted) : other.granted), NO_RESOURCES)
   return most(minus(limit, reserved), NO_RESOURCES)
 }
 
@@ -85,23 +86,23 @@
  * The fair share of one service: those that run nothing get what their first task takes, in the order in which they began to lack it; the
  * rest is divided evenly up to what each wants.
  */
-function shareOf (own: QuotaClaim, others: readonly QuotaClaim[], limit: Resources): Resources {
+function fairShareOf (own: QuotaClaim, others: readonly QuotaClaim[], limit: Resources): Resources {
   const claims = [own, ...others]
   let left = limit
   const shares = new Map<string, Resources>()
-  for (const { service, first } of [...claims].sort(byTurn)) {
+  for (const { service, first } of [...claims].sort(compareWaitingSince)) {
     const isPossible = fitsWithin(first, left)
     shares.set(service, isPossible ? first : NO_RESOURCES)
     if (isPossible) left = minus(left, first)
   }
-  return mapResources((kind) => evenShare(kind, own, claims, shares, left[kind]))
+  return mapResources((kind) => evenShareOf(kind, own, claims, shares, left[kind]))
 }
 
-function byTurn (a: QuotaClaim, b: QuotaClaim): number {
+function compareWaitingSince (a: QuotaClaim, b: QuotaClaim): number {
   return (a.lackingSinceMs ?? Infinity) - (b.lackingSinceMs ?? Infinity) || (a.service < b.service ? -1 : 1)
 }
 
-function evenShare (
+function evenShareOf (
   kind: typeof RESOURCE_KINDS[number], own: QuotaClaim, claims: readonly QuotaClaim[], firsts: ReadonlyMap<string, Resources>, amount: number
 ): number {
   if (amount === Infinity) return Infinity
--- a/packages/policy/src/test/ServiceNeeds.test.ts
+++ b/packages/policy/src/test/MachineNeedTracker.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { ServiceNeeds } from '../lib/machines/ServiceNeeds.js'
+import { MachineNeedTracker } from '../lib/machines/MachineNeedTracker.js'
 import type { ServiceDemand } from '../lib/machines/planPools.js'
 
 const NOW_MS = 100_000
@@ -15,10 +15,10 @@
   ]
   for (const { name, before, now, expected } of cases) {
     it(`foresees ${expected} machines for ${name}`, () => {
-      const needs = new ServiceNeeds()
-      needs.recent([demand(before)], NOW_MS)
-      needs.recent([demand(now)], NOW_MS + 1000)
-      expect(needs.coming([demand(now)], NOW_MS + 1000).get('s')).to.equal(expected)
+      const needs = new MachineNeedTracker()
+      needs.trackRecentPeak([demand(before)], NOW_MS)
+      needs.trackRecentPeak([demand(now)], NOW_MS + 1000)
+      expect(needs.predictNeed([demand(now)], NOW_MS + 1000).get('s')).to.equal(expected)
     })
   }
 })
--- a/packages/policy/src/test/PlacementRound.test.ts
+++ b/packages/policy/src/test/PlacementRound.test.ts
@@ -3,7 +3,7 @@
 import { createCrashRecord } from '../lib/jobs/CrashRecord.js'
 import { createJob, tasksOf, type Job } from '../lib/jobs/JobState.js'
 import { jobSpecSchema, type StepSpec } from '../lib/jobs/JobSpec.js'
-import { RunTimes } from '../lib/jobs/RunTimes.js'
+import { RunTimeEstimator } from '../lib/jobs/RunTimeEstimator.js'
 import { PlacementRound } from '../lib/placement/PlacementRound.js'
 import { WorkerHealth } from '../lib/placement/WorkerHealth.js'
 import type { WorkerView } from '../lib/placement/WorkerView.js'
@@ -40,10 +40,10 @@
   return new PlacementRound({
     configuration,
     jobs,
-    links,
-    times: new RunTimes(),
+    workerViews: links,
+    runTimes: new RunTimeEstimator(),
     advice: { ticketsFor: () => undefined },
-    accountRooms: () => undefined,
+    accountQuotaOf: () => undefined,
     vacating: { isVacating: () => false },
     nowMs: NOW_MS,
     wallMs: NOW_MS
@@ -82,7 +82,7 @@
     it(`places: ${name}`, () => {
       const jobs = [jobOf(1, [steps]), jobOf(2, [{ taskCount: 4 }])]
       const suspect = tasksOf(jobs[0] as Job, 0)[0]?.[0]
-      if (suspect !== undefined) suspect.crashes = { ...createCrashRecord(points), lastMs: judgedAgoMs === undefined ? undefined : NOW_MS - judgedAgoMs }
+      if (suspect !== undefined) suspect.crashes = { ...createCrashRecord(points), lastLossMs: judgedAgoMs === undefined ? undefined : NOW_MS - judgedAgoMs }
       const sibling = tasksOf(jobs[0] as Job, 0)[0]?.[1]
       if (sibling !== undefined) sibling.crashes = createCrashRecord(siblingPoints)
       const round = roundOf(jobs, Array.from({ length: workers }, (_, index) => workerOf(`w${index}`)))
@@ -90,7 +90,7 @@
       const own = runs.filter(({ task }) => task.job === jobs[0])
       const others = new Set(runs.filter(({ task }) => task.job !== jobs[0]).map(({ instanceId }) => instanceId))
       const shared = new Set(own.map(({ instanceId }) => instanceId).filter((instanceId) => others.has(instanceId))).size
-      expect({ placed: own.length, shared, givenUp: round.toGiveUp.length }).to.deep.equal(expected)
+      expect({ placed: own.length, shared, givenUp: round.tasksToGiveUp.length }).to.deep.equal(expected)
     })
   }
 })
--- a/packages/policy/src/test/QuotaRound.test.ts
+++ b/packages/policy/src/test/QuotaAdmission.test.ts
@@ -2,12 +2,12 @@
 import type { AccountName } from '@quillscale/ports'
 import { createJob, tasksOf, type Task } from '../lib/jobs/JobState.js'
 import { jobSpecSchema, type StepSpec } from '../lib/jobs/JobSpec.js'
-import { demandOf } from '../lib/machines/demandOf.js'
+import { computeServiceDemand } from '../lib/machines/computeServiceDemand.js'
 import { placeTasks } from '../lib/placement/placeTasks.js'
 import type { WorkerRoom } from '../lib/placement/WorkerRoom.js'
-import { QuotaRound } from '../lib/quotas/QuotaRound.js'
+import { QuotaAdmission } from '../lib/quotas/QuotaAdmission.js'
 import { NO_RESOURCES, type Resources } from '../lib/quotas/resources.js'
-import { ShareMeter } from '../lib/quotas/ShareMeter.js'
+import { AccountTokenBuckets } from '../lib/quotas/AccountTokenBuckets.js'
 import { testJobId } from './testJobId.js'
 
 const PRESS = 'press' as AccountName
@@ -27,12 +27,12 @@
     labels: ['a', 'r1'],
     ...capacity,
     capacity,
-    servingTasks: 0,
+    latencySensitiveTasks: 0,
     fillers: 0,
     runsByStep: new Map(),
     runsByJob: new Map(),
     lastingRuns: 0,
-    leftTo: undefined
+    reservedFor: undefined
   }
 }
 
@@ -72,7 +72,7 @@
   for (const { name, usable, used = 0, limit = 10_000, groups, placed, wanted, first, oversized = 0 } of cases) {
     it(name, () => {
       const room = { used: { ...NO_RESOURCES, cpuMillis: used }, usable: cpu(usable), limit: cpu(limit) }
-      const quota = new QuotaRound((account) => account === PRESS ? room : undefined)
+      const quota = new QuotaAdmission((account) => account === PRESS ? room : undefined)
       const steps = groups.map(({ account, step = {} }, at) => tasksFor(at, account, step))
       const placements = placeTasks(steps.map((tasks) => ({ tasks, mayReserve: false })), [roomOf('w0', 2000)], quota)
       expect(steps.map((tasks) => placements.filter(({ task }) => tasks.includes(task)).length)).to.deep.equal(placed)
@@ -83,7 +83,7 @@
   }
 
   it('keeps no room on workers for tasks that wait for a grant', () => {
-    const quota = new QuotaRound((account) => account === PRESS ? { used: NO_RESOURCES, usable: cpu(0), limit: cpu(1000) } : undefined)
+    const quota = new QuotaAdmission((account) => account === PRESS ? { used: NO_RESOURCES, usable: cpu(0), limit: cpu(1000) } : undefined)
     const [held, open] = [tasksFor(1, PRESS, { isLasting: true }), tasksFor(2, HERALD, {})]
     const placements = placeTasks([{ tasks: held, mayReserve: true }, { tasks: open, mayReserve: false }], [roomOf('w0', 400)], quota)
     expect(placements.map(({ task }) => task)).to.deep.equal(open)
@@ -100,7 +100,7 @@
   for (const { name, limit, wantedMillis } of cases) {
     it(name, () => {
       const job = tasksFor(1, PRESS, { memoryMb: 100 })[0]?.job
-      const demand = demandOf({ service: 's', jobs: job === undefined ? [] : [job], links: [], limitOf: () => limit, nowMs: 0, wallMs: 0 })
+      const demand = computeServiceDemand({ service: 's', jobs: job === undefined ? [] : [job], workerViews: [], limitOf: () => limit, nowMs: 0, wallMs: 0 })
       expect(demand.wantedMillis).to.equal(wantedMillis)
     })
   }
@@ -118,14 +118,14 @@
   ]
   for (const { name, weight, arrivalsMs, excess } of cases) {
     it(name, () => {
-      const meter = new ShareMeter()
-      expect(arrivalsMs.filter((atMs) => meter.isExcess(PRESS, weight, atMs))).to.have.length(excess)
+      const meter = new AccountTokenBuckets()
+      expect(arrivalsMs.filter((atMs) => meter.isOverShare(PRESS, weight, atMs))).to.have.length(excess)
     })
   }
 
   it('does not count one account against another', () => {
-    const meter = new ShareMeter()
-    for (let job = 0; job < 100; job++) meter.isExcess(PRESS, 1, 0)
-    expect(meter.isExcess(HERALD, 1, 0)).to.equal(false)
+    const meter = new AccountTokenBuckets()
+    for (let job = 0; job < 100; job++) meter.isOverShare(PRESS, 1, 0)
+    expect(meter.isOverShare(HERALD, 1, 0)).to.equal(false)
   })
 })
--- a/packages/policy/src/test/flood.test.ts
+++ b/packages/policy/src/test/accountFlood.test.ts
@@ -3,9 +3,9 @@
 import type { AccountName, QueueConfiguration } from '@quillscale/ports'
 import { createJob, tasksOf, type Job } from '../lib/jobs/JobState.js'
 import { jobSpecSchema } from '../lib/jobs/JobSpec.js'
-import { compareRanks, rankStep } from '../lib/jobs/rankJobs.js'
-import { RunTimes } from '../lib/jobs/RunTimes.js'
-import { ShareMeter } from '../lib/quotas/ShareMeter.js'
+import { compareRanks, rankStep } from '../lib/jobs/rankStep.js'
+import { RunTimeEstimator } from '../lib/jobs/RunTimeEstimator.js'
+import { AccountTokenBuckets } from '../lib/quotas/AccountTokenBuckets.js'
 import { testJobId } from './testJobId.js'
 
 const QUEUE: QueueConfiguration = {
@@ -43,8 +43,8 @@
 
 /** Plays jobs of one task each on one service of {@link SLOTS} tasks; the order is what is tested. */
 function play (flood: number, hasShares: boolean): Ended[] {
-  const meter = new ShareMeter()
-  const times = new RunTimes()
+  const meter = new AccountTokenBuckets()
+  const times = new RunTimeEstimator()
   const coming = arrivals(flood)
   let waiting: Job[] = []
   let running: Array<{ readonly job: Job, readonly endMs: number }> = []
@@ -59,7 +59,7 @@
       const job = createJob(jobSpecSchema.parse({
         jobId: testJobId(ended.length), queue: 'q', command: '', owner: { account, keyTag: '' }, submittedMs: atMs, steps: [{ taskCount: 1, cpuMillis: 1000, estimateMs: RUN_MS }]
       }))
-      job.isExcess = hasShares && meter.isExcess(account, WEIGHT, atMs)
+      job.isOverShare = hasShares && meter.isOverShare(account, WEIGHT, atMs)
       waiting.push(job)
     }
     const ranked = waiting.map((job) => ({
--- a/packages/policy/src/test/placeTasks.test.ts
+++ b/packages/policy/src/test/placeTasks.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { createJob, tasksOf, type Job } from '../lib/jobs/JobState.js'
 import { jobSpecSchema } from '../lib/jobs/JobSpec.js'
-import { QuotaRound } from '../lib/quotas/QuotaRound.js'
+import { QuotaAdmission } from '../lib/quotas/QuotaAdmission.js'
 import { placeTasks } from '../lib/placement/placeTasks.js'
 import type { PlacementGroup, WorkerRoom } from '../lib/placement/WorkerRoom.js'
 import { testJobId } from './testJobId.js'
@@ -13,12 +13,12 @@
   readonly capacity = { cpuMillis: 16_000, memoryMb: 32_000, gpus: 0 }
   memoryMb = 32_000
   gpus = 0
-  servingTasks = 0
+  latencySensitiveTasks = 0
   fillers = 0
   readonly runsByStep = new Map<string, number>()
   readonly runsByJob = new Map<Job, number>()
   lastingRuns = 0
-  leftTo: Job | undefined
+  reservedFor: Job | undefined
   #cpuMillis: number
 
   constructor (readonly instanceId: string, cpuMillis: number) {
@@ -54,14 +54,14 @@
   for (const { name, rooms, jobs, cpuMillis, placed } of cases) {
     it(`places ${name}`, () => {
       const made = rooms.map((free, index) => new CountedRoom(`w${index}`, free))
-      expect(placeTasks(groupsOf(jobs, cpuMillis), made, new QuotaRound(() => undefined))).to.have.length(placed)
+      expect(placeTasks(groupsOf(jobs, cpuMillis), made, new QuotaAdmission(() => undefined))).to.have.length(placed)
     })
   }
 
   it('looks at full workers a few times, however many tasks wait', () => {
     const rooms = Array.from({ length: 200 }, (_, index) => new CountedRoom(`w${index}`, 100))
     CountedRoom.looks = 0
-    expect(placeTasks(groupsOf(500, (job) => 1000 + job), rooms, new QuotaRound(() => undefined))).to.have.length(0)
+    expect(placeTasks(groupsOf(500, (job) => 1000 + job), rooms, new QuotaAdmission(() => undefined))).to.have.length(0)
     expect(CountedRoom.looks).to.be.at.most(rooms.length * 3)
   })
 })
--- a/packages/policy/src/test/planVacate.test.ts
+++ b/packages/policy/src/test/planDrain.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { createJob, tasksOf, type Run, type Task } from '../lib/jobs/JobState.js'
 import { jobSpecSchema, type StepSpec } from '../lib/jobs/JobSpec.js'
-import { mayBeAway, planVacate } from '../lib/machines/planVacate.js'
+import { isDisruptionAllowed, planDrain } from '../lib/machines/planDrain.js'
 import { testJobId } from './testJobId.js'
 
 const NOW_MS = 100_000
@@ -22,8 +22,8 @@
     startedMs: 0,
     stopConfirmedMs: undefined,
     isUncertain: false,
-    isToStop: false,
-    seenMs: NOW_MS - seenAgoMs,
+    shouldStop: false,
+    lastListedMs: NOW_MS - seenAgoMs,
     percent,
     progressMs: 0,
     pacePercent: 100,
@@ -48,7 +48,7 @@
       const tasks = tasksWith({ isLasting: true, maxAway })
       run(tasks[0] as Task, 100, 100)
       others.forEach(([seenAgoMs = 0, percent = 0], index) => run(tasks[index + 1] as Task, seenAgoMs, percent))
-      expect(mayBeAway(tasks[0] as Task, tasks, NOW_MS)).to.equal(expected)
+      expect(isDisruptionAllowed(tasks[0] as Task, tasks, NOW_MS)).to.equal(expected)
     })
   }
 })
@@ -63,7 +63,7 @@
   for (const { name, step, sinceMs, stopped } of cases) {
     it(name, () => {
       const runs = tasksWith(step).map((task) => run(task, 100, 100))
-      expect(planVacate(runs, sinceMs, NOW_MS)).to.have.length(stopped)
+      expect(planDrain(runs, sinceMs, NOW_MS)).to.have.length(stopped)
     })
   }
 })
--- a/packages/policy/src/test/planPools.test.ts
+++ b/packages/policy/src/test/planPools.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import type { ListedMachine, WorkerId } from '@quillscale/ports'
-import { planPools, type PoolView, type ServiceDemand } from '../lib/machines/planPools.js'
+import { planPools, type PoolPlanningInput, type ServiceDemand } from '../lib/machines/planPools.js'
 
 interface Pool {
   readonly name: string
@@ -12,7 +12,7 @@
 }
 
 /** Pool `off` is one whose machines are off; the others are services with machines of 16 cores, some of them idle. */
-function viewOf (pools: readonly Pool[], refused: readonly string[] = []): PoolView {
+function viewOf (pools: readonly Pool[], refused: readonly string[] = []): PoolPlanningInput {
   const machines = new Map<string, ListedMachine>()
   const demands: ServiceDemand[] = []
   for (const { name, machines: count, idle = 0, wantedCores = 0, busyRuns = 8 } of pools) {
@@ -31,13 +31,13 @@
     demands,
     machines,
     headroomPools: ['off'],
-    mayPark: true,
-    mostMoves: 6,
-    comingNeed: new Map(),
+    mayReleaseMachines: true,
+    maxMoves: 6,
+    predictedNeed: new Map(),
     busy: new Map(),
-    unusable: new Set(),
+    unusableMachines: new Set(),
     isRefused: (machineId, pool) => refused.includes(`${machineId} ${pool}`),
-    recentNeed: new Map(pools.flatMap(({ name, recent }) => recent === undefined ? [] : [[name, recent] as const]))
+    recentPeakNeed: new Map(pools.flatMap(({ name, recent }) => recent === undefined ? [] : [[name, recent] as const]))
   }
 }
 
@@ -76,7 +76,7 @@
 
   it('moves ahead of a growing need', () => {
     const view = viewOf([{ name: 'a', machines: 3, wantedCores: 20 }, { name: 'off', machines: 4 }])
-    expect(planPools({ ...view, comingNeed: new Map([['a', 5]]) })).to.have.length(2)
+    expect(planPools({ ...view, predictedNeed: new Map([['a', 5]]) })).to.have.length(2)
   })
 
   it('leaves machines alone that are busy, and counts them where they will be', () => {
--- a/packages/policy/src/test/planWave.test.ts
+++ b/packages/policy/src/test/planWave.test.ts
@@ -20,14 +20,14 @@
   for (const { name, open, underWay, maxAtOnce, leftShare, chosen } of cases) {
     it(name, () => {
       const planned = planWave({
-        open,
-        underWay,
+        pendingMachineIds: open,
+        inProgressMachineIds: underWay,
         maxAtOnce,
-        leftShare,
+        remainingTimeShare: leftShare,
         machines: MACHINES,
         isBusy: (machineId) => machineId === 'a7',
-        isHeadroom: (pool) => pool === 'off',
-        runsOn: (machineId) => Number(machineId.slice(-1)),
+        isHeadroomPool: (pool) => pool === 'off',
+        countRuns: (machineId) => Number(machineId.slice(-1)),
         poolSize: (pool) => [...MACHINES.values()].filter((machine) => machine.pool === pool).length
       }, 4)
       expect(planned).to.deep.equal(chosen)
--- a/packages/policy/src/test/rankJobs.test.ts
+++ b/packages/policy/src/test/rankStep.test.ts
@@ -2,8 +2,8 @@
 import type { QueueConfiguration } from '@quillscale/ports'
 import { createJob, tasksOf, type Job } from '../lib/jobs/JobState.js'
 import { jobSpecSchema, type StepSpec } from '../lib/jobs/JobSpec.js'
-import { compareRanks, rankStep } from '../lib/jobs/rankJobs.js'
-import { RunTimes } from '../lib/jobs/RunTimes.js'
+import { compareRanks, rankStep } from '../lib/jobs/rankStep.js'
+import { RunTimeEstimator } from '../lib/jobs/RunTimeEstimator.js'
 import { testJobId } from './testJobId.js'
 
 const QUEUE: QueueConfiguration = { name: 'q', service: 's', host: 'h', pathPrefix: '/', timeoutMs: 1000, priority: 1, attempts: 2, stretch: 2, targetLatencyMs: 500 }
@@ -22,7 +22,7 @@
 describe('the order of waiting jobs', () => {
   function jobOf ({ ageMs, doneTasks = 0, isExcess = false, step = {} }: Waiting, number: number): Job {
     const job = createJob(jobSpecSchema.parse({ jobId: testJobId(number), queue: 'q', command: '', submittedMs: NOW_MS - ageMs, steps: [{ ...STEP, ...step }] }))
-    job.isExcess = isExcess
+    job.isOverShare = isExcess
     for (const task of (tasksOf(job, 0)[0] ?? []).slice(0, doneTasks)) task.isDone = true
     return job
   }
@@ -43,7 +43,7 @@
     it(`puts ${name}`, () => {
       const [a, b] = [first, second].map((waiting, index) => {
         const waitingTask = tasksOf(jobOf(waiting, index), 0)[0]?.find(({ isDone }) => !isDone)
-        return rankStep(waitingTask!, QUEUE, new RunTimes(), NOW_MS)
+        return rankStep(waitingTask!, QUEUE, new RunTimeEstimator(), NOW_MS)
       })
       expect(compareRanks(a!, b!)).to.be.below(0)
       expect(compareRanks(b!, a!)).to.be.above(0)
--- a/packages/scheduler/src/lib/accounts/QuotaLedger.ts
+++ b/packages/scheduler/src/lib/accounts/QuotaLedger.ts
@@ -12,7 +12,7 @@
 import type { AccountName, FleetConfiguration, KeyValue, KeyValueStore } from '@quillscale/ports'
 import {
   fitsWithin, isLacking, least, mapResources, minus, NO_RESOURCES, planGrant, plus, RESOURCE_KINDS, resourcesOf, stepOf, times,
-  type AccountRoom, type QuotaClaim, type GrantPlan, type OwnClaim, type QuotaShortage, type Resources, type Run, type Task
+  type AccountQuota, type QuotaClaim, type GrantPlan, type OwnClaim, type QuotaShortage, type Resources, type Run, type Task
 } from '@quillscale/policy'
 import type { EventLog } from '../duties/EventLog.js'
 import { createReplica } from '../records/createReplica.js'
@@ -115,7 +115,7 @@
   }
 
   /** @param account - any @param nowMs - monotonic @returns what it may have running here, `undefined` without a limit */
-  roomOf (account: AccountName, nowMs: number): AccountRoom | undefined {
+  roomOf (account: AccountName, nowMs: number): AccountQuota | undefined {
     const { accounts } = this.#options
     const limit = accounts().limitOf(account)
     if (limit === undefined) return undefined
--- a/packages/scheduler/src/lib/duties/DutyElector.ts
+++ b/packages/scheduler/src/lib/duties/DutyElector.ts
@@ -9,7 +9,7 @@
 import { decodeJson, delay, type Clock } from '@quillscale/utils'
 import type { KeyValueStore } from '@quillscale/ports'
 import { LeaseHolder, type PrefixReplica } from '@quillscale/leases'
-import { dutyWaitMs } from '@quillscale/policy'
+import { dutyClaimDelayMs } from '@quillscale/policy'
 import * as z from 'zod'
 import { createReplica } from '../records/createReplica.js'
 import type { RecordReader } from '../records/RecordReader.js'
@@ -227,7 +227,7 @@
     const { capacityCores: power } = this.#options
     const isTrying = nowMs < this.#triedMs + TRY_MS
     const heldCount = this.heldCount + (isTrying ? 1 : 0)
-    const waitMs = dutyWaitMs({ power, mostPower: this.#mostPower, heldCount, random })
+    const waitMs = dutyClaimDelayMs({ capacityCores: power, maxCapacityCores: this.#mostPower, heldDuties: heldCount, random })
     return Math.max(sinceMs + waitMs, this.#notBeforeMs.get(dutyKey) ?? -Infinity)
   }
 
--- a/packages/scheduler/src/lib/duties/ServiceScheduler.ts
+++ b/packages/scheduler/src/lib/duties/ServiceScheduler.ts
@@ -9,7 +9,7 @@
 import { setMaxListeners } from 'node:events'
 import { delay } from '@quillscale/utils'
 import type { PrefixChange, PrefixReplica } from '@quillscale/leases'
-import { hasEnded, type Job, PlacementRound, type Run, RunTimes } from '@quillscale/policy'
+import { hasEnded, type Job, PlacementRound, type Run, RunTimeEstimator } from '@quillscale/policy'
 import { accountsOf } from '../accounts/AccountDirectory.js'
 import { QuotaLedger } from '../accounts/QuotaLedger.js'
 import { AdviceBook } from '../workers/AdviceBook.js'
@@ -47,7 +47,7 @@
   readonly #options: ServiceSchedulerOptions
   readonly #book: RunBook
   readonly #log: EventLog
-  readonly #times = new RunTimes()
+  readonly #times = new RunTimeEstimator()
   readonly #advice: AdviceBook
   readonly #vacator: MachineVacator
   readonly #silentWorkers: SilentWorkers
@@ -334,10 +334,10 @@
     const round = new PlacementRound({
       configuration,
       jobs: [...this.#book.jobs.values()],
-      links: this.#workers.links,
-      times: this.#times,
+      workerViews: this.#workers.links,
+      runTimes: this.#times,
       advice: this.#advice,
-      accountRooms: (account) => this.#ledger.roomOf(account, nowMs),
+      accountQuotaOf: (account) => this.#ledger.roomOf(account, nowMs),
       vacating: this.#vacator,
       nowMs,
       wallMs: this.#options.clock.wallMs()
@@ -346,8 +346,8 @@
     for (const run of runs) this.#adopt(run)
     this.#ledger.step(round.quota.shortages, nowMs)
     this.#ledger.noteOversized(round.quota.oversized)
-    for (const run of round.toStop) this.#tracker.discard(run)
-    for (const task of round.toGiveUp) {
+    for (const run of round.runsToStop) this.#tracker.discard(run)
+    for (const task of round.tasksToGiveUp) {
       if (hasEnded(task.job)) continue
       this.#book.giveUp(task)
       this.#crashBook.clearOthers(task.job)
--- a/packages/scheduler/src/lib/jobs/CrashBook.ts
+++ b/packages/scheduler/src/lib/jobs/CrashBook.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { hasEnded, isSuspect, LOSS_POINTS, SOON_MS, type CrashRecord, type Job, type LossKind, type Run, type Task } from '@quillscale/policy'
+import { hasEnded, isCrashSuspect, CRASH_POINTS, EARLY_LOSS_MS, type CrashRecord, type Job, type WorkerLossKind, type Run, type Task } from '@quillscale/policy'
 import type { EventLog } from '../duties/EventLog.js'
 
 /** A worker whose runs are lost. @public */
@@ -25,7 +25,7 @@
 /** What the book works with. @public */
 export interface CrashBookOptions {
   readonly log: EventLog
-  readonly count: (kind: LossKind) => void
+  readonly count: (kind: WorkerLossKind) => void
   /** Called for each job of which something was taken back. */
   readonly onChanged: (job: Job) => void
 }
@@ -72,17 +72,17 @@
     const begun = loss.runs.filter((run) => run.phase !== 'recording' && !(loss.isPlanned && hasOutlived(loss, run)))
     if (begun.length === 0) return
     const soonTasks = new Set(begun.filter((run) => isSoonAfterStart(run, nowMs)).map(({ task }) => task))
-    const suspects = new Set([...soonTasks].filter(isSuspect).map(({ job }) => job))
+    const suspects = new Set([...soonTasks].filter(isCrashSuspect).map(({ job }) => job))
     const isAlone = new Set(begun.map(({ task }) => task.job)).size === 1
     const charges = begun.map((run): Charge =>
-      ({ task: run.task, record: run.task.crashes, hasOutlived: hasOutlived(loss, run), points: LOSS_POINTS[kindOf(loss, run.task, soonTasks, suspects)] }))
+      ({ task: run.task, record: run.task.crashes, hasOutlived: hasOutlived(loss, run), points: CRASH_POINTS[kindOf(loss, run.task, soonTasks, suspects)] }))
     for (const { task, record, points } of charges) {
       const isSoon = soonTasks.has(task)
       record.points += points
-      record.lastMs = nowMs
-      record.hasEndedSoon = !loss.isSilent && isSoon && (suspects.size === 0 || suspects.has(task.job))
-      record.isLastCertain = !loss.isSilent && isAlone && isSoon
-      record.hasOnlySoon &&= isSoon
+      record.lastLossMs = nowMs
+      record.hasEarlyLoss = !loss.isSilent && isSoon && (suspects.size === 0 || suspects.has(task.job))
+      record.isLastLossCertain = !loss.isSilent && isAlone && isSoon
+      record.hasOnlyEarlyLosses &&= isSoon
     }
     this.#tell(loss, causeOf(loss, soonTasks.size > 0), charges)
     if (loss.isSilent) return
@@ -99,8 +99,8 @@
       if (!soonJobs.has(culprit)) continue
       const innocent = charges.filter(({ task, points }) => task.job !== culprit && points > 0 && !hasEnded(task.job))
       // Two jobs may both do so: one that may have just begun there keeps as much as for any doubtful end.
-      for (const { record } of innocent) record.hasEndedSoon = false
-      for (const charge of innocent) this.#reduce(charge, charge.hasOutlived ? LOSS_POINTS.cleared : LOSS_POINTS.beside)
+      for (const { record } of innocent) record.hasEarlyLoss = false
+      for (const charge of innocent) this.#reduce(charge, charge.hasOutlived ? CRASH_POINTS.cleared : CRASH_POINTS.beside)
       if (innocent.length > 0) this.#tell(loss, 'cleared', innocent)
     }
   }
@@ -108,10 +108,10 @@
   /** Two workers of a rack may be two crashes; three near each other that no job can have ended are none, and nothing is kept apart for them. */
   #share (crash: Crash, { ofRack, ofZone }: Unrelated): void {
     const isWide = ofZone >= WIDE_LOSSES - 1 || ofRack >= WIDE_LOSSES - 1
-    if (isWide) for (const { record } of crash.charges) record.hasEndedSoon = false
+    if (isWide) for (const { record } of crash.charges) record.hasEarlyLoss = false
     if (crash.isShared || (ofRack === 0 && !isWide)) return
     crash.isShared = true
-    for (const charge of crash.charges) this.#reduce(charge, LOSS_POINTS.shared)
+    for (const charge of crash.charges) this.#reduce(charge, CRASH_POINTS.shared)
     this.#tell(crash.loss, 'shared', crash.charges)
   }
 
@@ -120,11 +120,11 @@
     const lessPoints = Math.max(0, charge.points - points)
     charge.points -= lessPoints
     record.points = Math.max(0, record.points - lessPoints)
-    record.isLastCertain = false
+    record.isLastLossCertain = false
     this.#options.onChanged(task.job)
   }
 
-  #tell ({ instanceId }: WorkerLoss, kind: LossKind, charges: readonly Charge[]): void {
+  #tell ({ instanceId }: WorkerLoss, kind: WorkerLossKind, charges: readonly Charge[]): void {
     this.#options.count(kind)
     const points = charges.slice(0, TASKS_IN_LINE).map(({ task }) => `${task.key}: ${task.crashes.points}`)
     this.#options.log.info({ instanceId, kind, points, count: charges.length }, 'worker ended under tasks')
@@ -132,13 +132,13 @@
 }
 
 /** How the worker ended, as far as the worker tells. @param isSoon - soon after a start there */
-function causeOf ({ isSilent, isPlanned }: WorkerLoss, isSoon: boolean): LossKind {
+function causeOf ({ isSilent, isPlanned }: WorkerLoss, isSoon: boolean): WorkerLossKind {
   if (isSilent) return 'silent'
   return isPlanned && !isSoon ? 'unclear' : 'crash'
 }
 
 /** Beside a task that is suspected already and had just begun, the others have probably only stood by. */
-function kindOf (loss: WorkerLoss, task: Task, soonTasks: ReadonlySet<Task>, suspects: ReadonlySet<Job>): LossKind {
+function kindOf (loss: WorkerLoss, task: Task, soonTasks: ReadonlySet<Task>, suspects: ReadonlySet<Job>): WorkerLossKind {
   const cause = causeOf(loss, soonTasks.has(task))
   return cause === 'crash' && suspects.size > 0 && !suspects.has(task.job) ? 'beside' : cause
 }
@@ -154,11 +154,11 @@
 
 function isSoonAfterStart ({ startedMs, placedMs }: Run, nowMs: number): boolean {
   const beganMs = startedMs ?? placedMs
-  return beganMs !== undefined && nowMs - beganMs <= SOON_MS
+  return beganMs !== undefined && nowMs - beganMs <= EARLY_LOSS_MS
 }
 
 /** Whether the worker is known to have lived on for a while after the run's start. */
 function hasOutlived ({ heardMs }: WorkerLoss, { startedMs, placedMs }: Run): boolean {
   const beganMs = startedMs ?? placedMs
-  return heardMs !== undefined && beganMs !== undefined && heardMs - beganMs > SOON_MS
+  return heardMs !== undefined && beganMs !== undefined && heardMs - beganMs > EARLY_LOSS_MS
 }
--- a/packages/scheduler/src/lib/jobs/InboxReader.ts
+++ b/packages/scheduler/src/lib/jobs/InboxReader.ts
@@ -6,7 +6,7 @@
 import { decodeJson, type Clock } from '@quillscale/utils'
 import type { AccountName, KeyValue, WorkerId } from '@quillscale/ports'
 import type { PrefixChange } from '@quillscale/leases'
-import { createJob, hasEnded, type JobId, type JobSpec, jobSpecSchema, type Run, ShareMeter } from '@quillscale/policy'
+import { createJob, hasEnded, type JobId, type JobSpec, jobSpecSchema, type Run, AccountTokenBuckets } from '@quillscale/policy'
 import type { EventLog } from '../duties/EventLog.js'
 import { decodeGoneReport, type GoneReport } from '../machines/goneReport.js'
 import type { MachineVacator } from '../machines/MachineVacator.js'
@@ -38,7 +38,7 @@
   readonly #recorded = new Map<JobId, KeyValue>()
   /** Jobs whose progress cannot be read. */
   readonly #setAside = new Map<JobId, JobSpec>()
-  readonly #shares = new ShareMeter()
+  readonly #shares = new AccountTokenBuckets()
 
   /** @param options - what it works with */
   constructor (options: InboxReaderOptions) {
@@ -102,7 +102,7 @@
 
   #isExcess ({ owner, submittedMs }: JobSpec): boolean {
     const weight = owner === undefined ? undefined : this.#options.weightOf(owner.account)
-    return owner !== undefined && weight !== undefined && this.#shares.isExcess(owner.account, weight, submittedMs)
+    return owner !== undefined && weight !== undefined && this.#shares.isOverShare(owner.account, weight, submittedMs)
   }
 
   #addJob (spec: JobSpec): void {
@@ -117,8 +117,8 @@
       return
     }
     const job = createJob(spec)
-    job.isExcess = this.#isExcess(spec)
-    if (job.isExcess) log.info({ jobId, account: spec.owner?.account }, 'job is beyond its account\'s share: others go first')
+    job.isOverShare = this.#isExcess(spec)
+    if (job.isOverShare) log.info({ jobId, account: spec.owner?.account }, 'job is beyond its account\'s share: others go first')
     book.jobs.set(jobId, job)
     if (progress === undefined) return
     for (const run of restoreProgress(job, progress, clock.monotonicMs())) onPlaced(run)
--- a/packages/scheduler/src/lib/jobs/RunBook.ts
+++ b/packages/scheduler/src/lib/jobs/RunBook.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock } from '@quillscale/utils'
 import type { EndReport, RunEnd } from '@quillscale/ports'
-import { allTasks, hasEnded, isWholeJobDone, type Job, type JobId, type JobStatus, type Run, type RunTimes, stepOf, type Task } from '@quillscale/policy'
+import { allTasks, hasEnded, isJobDone, type Job, type JobId, type JobStatus, type Run, type RunTimeEstimator, stepOf, type Task } from '@quillscale/policy'
 import type { EventLog } from '../duties/EventLog.js'
 import { runKey, type WorkerLink } from '../workers/WorkerLink.js'
 
@@ -35,7 +35,7 @@
 export interface RunBookOptions {
   readonly clock: Clock
   readonly log: EventLog
-  readonly times: RunTimes
+  readonly times: RunTimeEstimator
   /** Failed runs after which a task of this job has failed. */
   readonly attemptsOf: (job: Job) => number
   /** Where a run is. */
@@ -90,7 +90,7 @@
 
   /** Ends the job of a task that ends the workers which start it. @param task - of a job that has not ended */
   giveUp (task: Task): void {
-    const { job, key, crashes, avoid } = task
+    const { job, key, crashes, avoidedInstances: avoid } = task
     this.#options.log.warn({ jobId: job.spec.jobId, taskKey: key, points: crashes.points, starts: task.lastRunNumber, lastOn: [...avoid].at(-1) }, 'task given up: it ends the workers that start it')
     job.failure = { reason: 'crashes', taskKey: key }
     this.end(job, 'failed')
@@ -111,7 +111,7 @@
     const step = stepOf(task)
     if (outcome === 'done' && !step.isLasting) {
       for (const member of step.isGang ? this.#gangOf(task) : [task]) this.#markDone(member)
-      if (isWholeJobDone(job)) this.end(job, 'succeeded')
+      if (isJobDone(job)) this.end(job, 'succeeded')
       return
     }
     if (outcome === 'failed' && !step.isLasting) {
@@ -122,11 +122,11 @@
         return this.end(job, 'failed')
       }
     }
-    if (outcome === 'failed' || outcome === 'lost') task.avoid.add(run.instanceId)
+    if (outcome === 'failed' || outcome === 'lost') task.avoidedInstances.add(run.instanceId)
   }
 
   #gangOf (task: Task): readonly Task[] {
-    return task.job.times.get(task.time)?.[task.stepIndex] ?? [task]
+    return task.job.occurrences.get(task.occurrence)?.[task.stepIndex] ?? [task]
   }
 
   #markDone (task: Task): void {
@@ -139,10 +139,10 @@
     const nowMs = this.#options.clock.monotonicMs()
     if (outcome === 'done') {
       link?.health.succeeded()
-      if (run.startedMs !== undefined) this.#options.times.note(stepOf(run.task), nowMs - run.startedMs)
+      if (run.startedMs !== undefined) this.#options.times.addSample(stepOf(run.task), nowMs - run.startedMs)
     }
     if (outcome !== 'failed' || link === undefined || stepOf(run.task).isLasting) return
-    const failedElsewhere = allTasks(run.task.job).some((task) => [...task.avoid].some((instanceId) => instanceId !== run.instanceId))
+    const failedElsewhere = allTasks(run.task.job).some((task) => [...task.avoidedInstances].some((instanceId) => instanceId !== run.instanceId))
     if (link.health.failed(run.task.job.spec.jobId, failedElsewhere, nowMs)) {
       this.#options.log.warn({ instanceId: run.instanceId, taskKey: run.taskKey }, 'worker set apart: runs of several jobs failed there')
     }
--- a/packages/scheduler/src/lib/jobs/RunTracker.ts
+++ b/packages/scheduler/src/lib/jobs/RunTracker.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock } from '@quillscale/utils'
 import type { HoldReport, RunOrderError, RunOrders } from '@quillscale/ports'
-import { clearIfSurvived, hasEnded, type Job, type JobId, planPaces, type Run, stepOf } from '@quillscale/policy'
+import { clearCrashRecordIfSurvived, hasEnded, type Job, type JobId, planPaces, type Run, stepOf } from '@quillscale/policy'
 import type { EventLog } from '../duties/EventLog.js'
 import type { LossEvidence, RunBook } from './RunBook.js'
 import { runKey, type WorkerLink } from '../workers/WorkerLink.js'
@@ -95,13 +95,13 @@
       run.phase = 'running'
       this.#hasBegun(run.task.job)
       run.startedMs = nowMs
-      if (hasEnded(run.task.job) || run.task.isDone || run.isToStop) this.discard(run)
+      if (hasEnded(run.task.job) || run.task.isDone || run.shouldStop) this.discard(run)
     }
     if (percent > run.percent) run.progressMs = nowMs
-    run.seenMs = nowMs
+    run.lastListedMs = nowMs
     run.percent = percent
     run.load = load
-    if (clearIfSurvived(run, nowMs)) this.#options.onChanged(run.task.job)
+    if (clearCrashRecordIfSurvived(run, nowMs)) this.#options.onChanged(run.task.job)
     if (checkpoint !== '' && stepOf(run.task).isCheckpointing) run.task.checkpoint = checkpoint
   }
 
--- a/packages/scheduler/src/lib/jobs/StatusWriter.ts
+++ b/packages/scheduler/src/lib/jobs/StatusWriter.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock } from '@quillscale/utils'
 import type { AccountName } from '@quillscale/ports'
-import { demandOf, type Job, machinesNeeded, type Resources } from '@quillscale/policy'
+import { computeServiceDemand, type Job, machinesNeeded, type Resources } from '@quillscale/policy'
 import type { RecordEncoder } from '../records/FencedBatchWriter.js'
 import type { EventLog } from '../duties/EventLog.js'
 import { demandKey, encodeDemand } from '../records/serviceDemand.js'
@@ -68,7 +68,7 @@
   #writeDemand (jobs: readonly Job[], workers: WorkerSet, nowMs: number): void {
     this.#demandMadeMs = nowMs
     const { service, clock, log, limitOf, put } = this.#options
-    const demand = demandOf({ service, jobs, links: workers.links, limitOf, nowMs, wallMs: clock.wallMs() })
+    const demand = computeServiceDemand({ service, jobs, workerViews: workers.links, limitOf, nowMs, wallMs: clock.wallMs() })
     const need = machinesNeeded(demand)
     const text = encodeDemand(demand)
     const isMore = need > this.#demandNeed
--- a/packages/scheduler/src/lib/jobs/jobProgress.ts
+++ b/packages/scheduler/src/lib/jobs/jobProgress.ts
@@ -56,7 +56,7 @@
 }
 
 /** A stop that a former holder wrote down is handed on until the run is over. */
-function encodeRun ({ runNumber, instanceId, phase, isToStop }: Run): RunProgress {
+function encodeRun ({ runNumber, instanceId, phase, shouldStop: isToStop }: Run): RunProgress {
   const isStopping = phase === 'stopping' || isToStop
   return { runNumber, instanceId, isStopping: isStopping || undefined }
 }
@@ -97,8 +97,8 @@
         startedMs: undefined,
         stopConfirmedMs: undefined,
         isUncertain: true,
-        isToStop: isStopping === true,
-        seenMs: -Infinity,
+        shouldStop: isStopping === true,
+        lastListedMs: -Infinity,
         percent: 0,
         progressMs: nowMs,
         pacePercent: 100,
--- a/packages/scheduler/src/lib/machines/MachineDuty.ts
+++ b/packages/scheduler/src/lib/machines/MachineDuty.ts
@@ -278,15 +278,15 @@
     const headroom = new Set(headroomPools())
     const demands = this.#demands.current(this.#demandItems.items, clock.monotonicMs())
     const begin = planWave({
-      open: request.machineIds.filter((machineId) => !settled.has(machineId) && !underWay.includes(machineId)),
+      pendingMachineIds: request.machineIds.filter((machineId) => !settled.has(machineId) && !underWay.includes(machineId)),
       machines: this.#machines,
       isBusy: (machineId) => this.#tasks.has(machineId),
-      underWay,
+      inProgressMachineIds: underWay,
       maxAtOnce: request.maxAtOnce,
-      isHeadroom: (pool) => headroom.has(pool),
-      runsOn: (machineId) => demands.find(({ runsByMachine }) => runsByMachine.has(machineId))?.runsByMachine.get(machineId) ?? 0,
+      isHeadroomPool: (pool) => headroom.has(pool),
+      countRuns: (machineId) => demands.find(({ runsByMachine }) => runsByMachine.has(machineId))?.runsByMachine.get(machineId) ?? 0,
       poolSize: (pool) => [...this.#machines.values()].filter((machine) => machine.pool === pool).length,
-      leftShare: 1 - (clock.wallMs() - progress.startedWallMs) / Math.max(1, request.deadlineMs)
+      remainingTimeShare: 1 - (clock.wallMs() - progress.startedWallMs) / Math.max(1, request.deadlineMs)
     }, request.machineIds.length)
     for (const machineId of begin) this.#begin({ machineId, kind: 'upkeep', wave: progress.wave, from: this.#machines.get(machineId)?.pool ?? '', to: '' })
   }
--- a/packages/scheduler/src/lib/machines/MachineVacator.ts
+++ b/packages/scheduler/src/lib/machines/MachineVacator.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Clock } from '@quillscale/utils'
-import { planLeave, planVacate, type Run } from '@quillscale/policy'
+import { planLeavingWorkerDrain, planDrain, type Run } from '@quillscale/policy'
 import type { RecordEncoder } from '../records/FencedBatchWriter.js'
 import type { EventLog } from '../duties/EventLog.js'
 import { vacatedKey } from '../records/storeKeys.js'
@@ -55,7 +55,7 @@
   stepLeaving (leaving: readonly WorkerLink[], nowMs: number): void {
     for (const { instance, runs } of leaving) {
       if (this.isVacating(instance.machineId)) continue
-      for (const run of planLeave([...runs.values()], nowMs)) {
+      for (const run of planLeavingWorkerDrain([...runs.values()], nowMs)) {
         this.#options.log.info({ taskKey: run.taskKey, runNumber: run.runNumber, instanceId: run.instanceId, state: instance.state }, 'lasting task leaves its worker')
         this.#options.stop(run)
       }
@@ -73,7 +73,7 @@
       if (request.isVacated) continue
       const links = workers.links.filter(({ instance }) => instance.machineId === machineId)
       const runs = links.flatMap((link) => [...link.runs.values()])
-      for (const run of planVacate(runs, request.sinceMs, nowMs)) this.#options.stop(run)
+      for (const run of planDrain(runs, request.sinceMs, nowMs)) this.#options.stop(run)
       if (runs.length > 0 || (links.length === 0 && workers.hasUnmetRuns)) continue
       request.isVacated = true
       this.#options.put(vacatedKey(this.#options.service, machineId), () => request.value, true)
--- a/packages/scheduler/src/lib/machines/PoolBalancer.ts
+++ b/packages/scheduler/src/lib/machines/PoolBalancer.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { ListedMachine } from '@quillscale/ports'
-import { countPools, NEED_MEMORY_MS, planPools, type PoolMove, type PoolView, ServiceNeeds } from '@quillscale/policy'
+import { countPools, NEED_WINDOW_MS, planPools, type PoolMove, type PoolPlanningInput, MachineNeedTracker } from '@quillscale/policy'
 import type { EventLog } from '../duties/EventLog.js'
 import { ShortageLog } from './ShortageLog.js'
 
@@ -16,7 +16,7 @@
 }
 
 /** What is known of pools and machines at the moment. @public */
-export type PoolSituation = Pick<PoolView, 'demands' | 'headroomPools' | 'machines' | 'busy'>
+export type PoolSituation = Pick<PoolPlanningInput, 'demands' | 'headroomPools' | 'machines' | 'busy'>
 
 /** Share of the platform's rate that is used for moves: upkeep and repeated orders need the rest. */
 const MOVES_SHARE = 0.8
@@ -29,7 +29,7 @@
 /** The balancer, for one tenure of the holder of machines. @public */
 export class PoolBalancer {
   readonly #options: PoolBalancerOptions
-  readonly #needs = new ServiceNeeds()
+  readonly #needs = new MachineNeedTracker()
   readonly #shortages: ShortageLog
   readonly #refused = new Set<string>()
   readonly #uselessSinceMs = new Map<string, number>()
@@ -51,14 +51,14 @@
   plan (situation: PoolSituation, nowMs: number): PoolMove[] {
     this.#beganMs ??= nowMs
     const { demands } = situation
-    const view: PoolView = {
+    const view: PoolPlanningInput = {
       ...situation,
-      unusable: this.#unusable(situation, nowMs),
+      unusableMachines: this.#unusable(situation, nowMs),
       isRefused: (machineId, pool) => this.#refused.has(`${machineId} ${pool}`),
-      recentNeed: this.#needs.recent(demands, nowMs),
-      comingNeed: this.#needs.coming(demands, nowMs),
-      mostMoves: this.#mostMoves(nowMs),
-      mayPark: nowMs - this.#beganMs > NEED_MEMORY_MS
+      recentPeakNeed: this.#needs.trackRecentPeak(demands, nowMs),
+      predictedNeed: this.#needs.predictNeed(demands, nowMs),
+      maxMoves: this.#mostMoves(nowMs),
+      mayReleaseMachines: nowMs - this.#beganMs > NEED_WINDOW_MS
     }
     const counts = countPools(view)
     this.#shortages.note(counts, nowMs)
--- a/packages/scheduler/src/lib/workers/RunLosses.ts
+++ b/packages/scheduler/src/lib/workers/RunLosses.ts
@@ -95,7 +95,7 @@
     const { there, arriving, lost } = this.#doubtful.settle(link, report, askedMs)
     for (const run of [...there, ...arriving.map((each) => each.run)]) {
       run.instanceId = link.instance.instanceId
-      run.seenMs = -Infinity
+      run.lastListedMs = -Infinity
       link.runs.set(runKey(run), run)
       if (run.phase !== 'stopping') run.phase = 'unconfirmed'
       this.#options.onMoved(run)
--- a/packages/scheduler/src/lib/workers/WorkerLink.ts
+++ b/packages/scheduler/src/lib/workers/WorkerLink.ts
@@ -118,7 +118,7 @@
 
   /** @param run - placed there @returns whether it surely reached this lifetime, so that it ended with it if that is over */
   hasReached (run: Run): boolean {
-    return this.#begun.has(run) || run.seenMs > -Infinity
+    return this.#begun.has(run) || run.lastListedMs > -Infinity
   }
 
   /** Ends all that this link does. */
--- a/packages/scheduler/src/test/CrashBook.test.ts
+++ b/packages/scheduler/src/test/CrashBook.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai'
-import { createJob, isSuspect, jobSpecSchema, judgeTask, clearIfSurvived, tasksOf, type Job, type Run, type Task, type Verdict } from '@quillscale/policy'
+import { createJob, isCrashSuspect, jobSpecSchema, decidePlacement, clearCrashRecordIfSurvived, tasksOf, type Job, type Run, type Task, type PlacementDecision } from '@quillscale/policy'
 import { CrashBook } from '../lib/jobs/CrashBook.js'
 import { QUEUE, testJobId, TestLog } from './TestService.js'
 
@@ -21,7 +21,7 @@
 interface Case {
   readonly name: string
   readonly steps: ReadonlyArray<Loss | Conviction>
-  readonly expected: { readonly task: string, readonly points: number, readonly isSuspect: boolean, readonly verdict: Verdict }
+  readonly expected: { readonly task: string, readonly points: number, readonly isSuspect: boolean, readonly verdict: PlacementDecision }
 }
 
 const SOON = 20
@@ -125,7 +125,7 @@
 }
 
 const runOf = (task: Task, startedMs: number, phase: Run['phase'] = 'running'): Run => ({
-  task, taskKey: task.key, runNumber: 1, instanceId: 'w', phase, placedMs: startedMs, startedMs, stopConfirmedMs: undefined, isUncertain: false, isToStop: false, seenMs: 0, percent: 0, progressMs: 0, pacePercent: 100, load: 0
+  task, taskKey: task.key, runNumber: 1, instanceId: 'w', phase, placedMs: startedMs, startedMs, stopConfirmedMs: undefined, isUncertain: false, shouldStop: false, lastListedMs: 0, percent: 0, progressMs: 0, pacePercent: 100, load: 0
 })
 
 describe('CrashBook', () => {
@@ -140,7 +140,8 @@
         book.note({ instanceId: `w${at}`, rack, availabilityZone: zone, heardMs: atMs - heardAgoMs, runs: lost, isPlanned, isSilent }, atMs)
       })
       const task = tasks.find(expected.task)
-      expect({ task: expected.task, points: task.crashes.points, isSuspect: isSuspect(task), verdict: judgeTask(task, JUDGED_MS) }).to.deep.equal(expected)
+      expect({ task: expected.task, points: task.crashes.points, isSuspect: isCrashSuspect(task), verdict: decidePlacement(task, JUDGED_MS) })
+        .to.deep.equal(expected)
     })
   }
 
@@ -152,13 +153,13 @@
       instanceId: `w${atMs}`, rack: undefined, availabilityZone: undefined, heardMs: atMs - 50, runs: begun.map((task) => runOf(task, atMs - 100)), isPlanned: false, isSilent: false
     }, atMs)
     note(0, [lasting, culprit])
-    clearIfSurvived(runOf(lasting, 1000), 5000)
+    clearCrashRecordIfSurvived(runOf(lasting, 1000), 5000)
     note(6000, [lasting])
     note(8000, [lasting])
     const { points } = lasting.crashes
     book.clearOthers(culprit.job)
     expect(lasting.crashes.points).to.equal(points)
-    expect(isSuspect(lasting)).to.equal(true)
+    expect(isCrashSuspect(lasting)).to.equal(true)
   })
 
   it('holds nothing against a task that lasts and has been at work for long, however often', () => {
@@ -167,8 +168,8 @@
     const book = new CrashBook({ log: new TestLog(), count: () => {}, onChanged: () => {} })
     for (let atMs = 10_000; atMs < 1_000_000; atMs += 10_000) {
       const run = runOf(task, atMs - 4000)
-      clearIfSurvived(run, atMs)
-      expect(judgeTask(task, atMs)).to.equal('place')
+      clearCrashRecordIfSurvived(run, atMs)
+      expect(decidePlacement(task, atMs)).to.equal('place')
       book.note({ instanceId: 'w', rack: undefined, availabilityZone: undefined, heardMs: atMs - 100, runs: [run], isPlanned: false, isSilent: false }, atMs)
     }
   })
--- a/packages/scheduler/src/test/QuotaLedger.test.ts
+++ b/packages/scheduler/src/test/QuotaLedger.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { delay, SeededRandom, systemClock } from '@quillscale/utils'
 import type { AccountName, FleetConfiguration } from '@quillscale/ports'
-import { createJob, jobSpecSchema, QuotaRound, tasksOf, type QuotaClaim, type Resources, type Run, type Task } from '@quillscale/policy'
+import { createJob, jobSpecSchema, QuotaAdmission, tasksOf, type QuotaClaim, type Resources, type Run, type Task } from '@quillscale/policy'
 import { accountsOf } from '../lib/accounts/AccountDirectory.js'
 import { QuotaLedger } from '../lib/accounts/QuotaLedger.js'
 import { encodeQuota, quotaKey } from '../lib/accounts/quotaRecord.js'
@@ -60,9 +60,9 @@
   }
 
   round (nowMs: number): void {
-    const quota = new QuotaRound((account) => this.ledger.roomOf(account, nowMs))
+    const quota = new QuotaAdmission((account) => this.ledger.roomOf(account, nowMs))
     const admitted = quota.admit(this.waiting)
-    for (const task of admitted) quota.take(task)
+    for (const task of admitted) quota.consume(task)
     this.waiting = this.waiting.slice(admitted.length)
     for (const task of admitted) this.#start(task)
     this.ledger.step(quota.shortages, nowMs)
--- a/packages/scheduler/src/test/ShortageLog.test.ts
+++ b/packages/scheduler/src/test/ShortageLog.test.ts
@@ -7,7 +7,7 @@
 
 const countOf = ({ need, have, usable }: Moment): PoolCount => {
   const runsByMachine = new Map(Array.from({ length: usable }, (_, index) => [`m${index}`, 0]))
-  return { need, have, keep: need, demand: { service: SERVICE, wantedMillis: 0, leastMachines: 0, machineMillis: 1000, runsByMachine } }
+  return { need, have, retained: need, demand: { service: SERVICE, wantedMillis: 0, leastMachines: 0, machineMillis: 1000, runsByMachine } }
 }
 
 describe('ShortageLog', () => {
