--- a/packages/scheduler/src/lib/accounts/QuotaLedger.ts
+++ b/packages/scheduler/src/lib/accounts/QuotaLedger.ts
@@ -18,7 +18,7 @@
 import { createReplica } from '../records/createReplica.js'
 import type { RecordReader } from '../records/RecordReader.js'
 import type { AccountDirectory } from './AccountDirectory.js'
-import { QUOTA_PREFIX, quotaKey, decodeQuota, encodeQuota } from './quotaRecord.js'
+import { QUOTA_PREFIX, quotaKey, decodeQuotaRecord, encodeQuotaRecord } from './quotaRecord.js'
 
 /** What the ledger works with. @public */
 export interface QuotaLedgerOptions {
@@ -91,17 +91,17 @@
   }
 
   /** @param signal - ends the following of records, which begins once an account has a limit */
-  begin (signal: AbortSignal): void {
+  start (signal: AbortSignal): void {
     this.#signal = signal
   }
 
   /** @param run - that was placed, by this holder or an earlier one */
-  noteRun (run: Run): void {
+  addRun (run: Run): void {
     this.#countRun(run, 1)
   }
 
   /** @param run - that is surely over */
-  noteEnd (run: Run): void {
+  removeRun (run: Run): void {
     this.#countRun(run, -1)
   }
 
@@ -115,7 +115,7 @@
   }
 
   /** @param account - any @param nowMs - monotonic @returns what it may have running here, `undefined` without a limit */
-  roomOf (account: AccountName, nowMs: number): AccountQuota | undefined {
+  quotaFor (account: AccountName, nowMs: number): AccountQuota | undefined {
     const { accounts } = this.#options
     const limit = accounts().limitOf(account)
     if (limit === undefined) return undefined
@@ -132,7 +132,7 @@
    * @param shortages - of the round, by account
    * @param nowMs - monotonic
    */
-  step (shortages: ReadonlyMap<AccountName, QuotaShortage>, nowMs: number): void {
+  reconcile (shortages: ReadonlyMap<AccountName, QuotaShortage>, nowMs: number): void {
     this.#shortages = shortages
     // Also what this service does not need may be held by it, and has to be given up.
     if (this.#options.accounts().hasLimits) this.#followOnce()
@@ -140,7 +140,7 @@
   }
 
   /** Tells once of each step that its account's limit can never hold. @param tasks - the first of each step */
-  noteOversized (tasks: readonly Task[]): void {
+  warnOversized (tasks: readonly Task[]): void {
     for (const task of tasks) {
       if (this.#oversized.has(task.stepKey)) continue
       this.#oversized.add(task.stepKey)
@@ -224,7 +224,7 @@
     const before = this.#unsettled.get(account)
     this.#unsettled.set(account, { baseRevision, granted: least(before?.granted ?? claim.granted, least(claim.granted, next.granted)) })
     this.#writing.add(account)
-    const value = encodeQuota({ account, claims: [...others, next] })
+    const value = encodeQuotaRecord({ account, claims: [...others, next] })
     const outcome = await store.transact({
       conditions: [{ key: dutyKey, modRevision: fencingToken }, { key, modRevision: baseRevision }], puts: [{ key, value }], removals: []
     })
@@ -260,7 +260,7 @@
 
   #read (item: KeyValue): void {
     const { records, clock } = this.#options
-    const record = records.read(item, decodeQuota)
+    const record = records.read(item, decodeQuotaRecord)
     const isOwnKey = record !== undefined && quotaKey(record.account) === item.key
     const account = isOwnKey ? record.account : accountOfKey(item.key)
     if (account === undefined) return
--- a/packages/scheduler/src/lib/accounts/quotaRecord.ts
+++ b/packages/scheduler/src/lib/accounts/quotaRecord.ts
@@ -28,7 +28,7 @@
 }
 
 /** @param record - of an account @returns it as text @public */
-export function encodeQuota ({ account, claims }: QuotaRecord): string {
+export function encodeQuotaRecord ({ account, claims }: QuotaRecord): string {
   return JSON.stringify({
     account,
     claims: claims.map(({ service, granted, wanted, first, lackingSinceMs }) => ({ service, granted, wanted, first, lackingSinceMs }))
@@ -36,7 +36,7 @@
 }
 
 /** @param text - as kept @returns the record, or why it cannot be read @public */
-export function decodeQuota (text: string): Result<QuotaRecord, DecodeProblem> {
+export function decodeQuotaRecord (text: string): Result<QuotaRecord, DecodeProblem> {
   return decodeJson(recordSchema, text).map(({ account, claims }) =>
     ({ account, claims: claims.map((claim) => ({ ...claim, lackingSinceMs: claim.lackingSinceMs })) }))
 }
--- a/packages/scheduler/src/lib/duties/ServiceScheduler.ts
+++ b/packages/scheduler/src/lib/duties/ServiceScheduler.ts
@@ -19,7 +19,7 @@
 import { CrashBook } from '../jobs/CrashBook.js'
 import { InboxReader } from '../jobs/InboxReader.js'
 import { encodeProgress } from '../jobs/jobProgress.js'
-import { MachineVacator } from '../machines/MachineVacator.js'
+import { MachineDrainer } from '../machines/MachineDrainer.js'
 import { openFencedBatchWriter } from '../records/openFencedBatchWriter.js'
 import { RunBook } from '../jobs/RunBook.js'
 import { RunStarter } from '../jobs/RunStarter.js'
@@ -49,7 +49,7 @@
   readonly #log: EventLog
   readonly #times = new RunTimeEstimator()
   readonly #advice: AdviceBook
-  readonly #vacator: MachineVacator
+  readonly #vacator: MachineDrainer
   readonly #silentWorkers: SilentWorkers
   readonly #ledger: QuotaLedger
   readonly #workers: WorkerSet
@@ -84,7 +84,7 @@
       attemptsOf: (job) => configuration()?.queues.find(({ name }) => name === job.spec.queue)?.attempts ?? DEFAULT_ATTEMPTS,
       linkOf: (run) => this.#workers.linkOf(run),
       onChanged: (job) => this.#changed(job),
-      onClosed: (run) => this.#ledger.noteEnd(run),
+      onClosed: (run) => this.#ledger.removeRun(run),
       onUnneeded: (run) => this.#tracker.discard(run)
     })
     this.#ledger = this.#createLedger()
@@ -104,7 +104,7 @@
     this.#workers = this.#createWorkers()
     this.#statusWriter = new StatusWriter({ service, clock, log: options.log, put, limitOf: (account) => accountsOf(configuration()).limitOf(account) })
     this.#advice = new AdviceBook({ advice: options.advice, clock, log: options.log, onAdvice: () => this.#wake() })
-    this.#vacator = new MachineVacator({ service, clock, log: options.log, put, stop: (run) => { void this.#starter.takeAway(run) } })
+    this.#vacator = new MachineDrainer({ service, clock, log: options.log, put, stop: (run) => { void this.#starter.takeAway(run) } })
     this.#registrations = new WorkerRegistrations({
       ...options, prefix: options.workersPrefix, isServiceNamed: (name) => configuration()?.services.some((named) => named.name === name) === true
     })
@@ -210,7 +210,7 @@
   async run (): Promise<void> {
     const { clock, service, fencingToken } = this.#options
     this.#tookOverMs = clock.monotonicMs()
-    this.#ledger.begin(this.#stop.signal)
+    this.#ledger.start(this.#stop.signal)
     const registrationsFollowed = this.#registrationItems.run(this.#stop.signal)
     if (!await this.#recover()) return
     this.#log.info({ service, fencingToken, jobs: this.#book.jobs.size, tookMs: clock.monotonicMs() - this.#tookOverMs }, 'scheduling begins')
@@ -320,8 +320,8 @@
     const nowMs = this.#options.clock.monotonicMs()
     this.#workers.closeLapsed(nowMs)
     if (!this.#inbox.isListed || !this.#registrationItems.isListed) return
-    this.#vacator.step(this.#workers, nowMs)
-    this.#vacator.stepLeaving(this.#workers.leaving(this.#registrationItems.steadyForMs(nowMs), nowMs), nowMs)
+    this.#vacator.reconcile(this.#workers, nowMs)
+    this.#vacator.drainLeavingWorkers(this.#workers.leaving(this.#registrationItems.steadyForMs(nowMs), nowMs), nowMs)
     this.#place(nowMs)
     this.#statusWriter.write([...this.#book.jobs.values()], this.#workers, nowMs)
     this.#forgetEnded()
@@ -337,15 +337,15 @@
       workerViews: this.#workers.links,
       runTimes: this.#times,
       advice: this.#advice,
-      accountQuotaOf: (account) => this.#ledger.roomOf(account, nowMs),
+      accountQuotaOf: (account) => this.#ledger.quotaFor(account, nowMs),
       vacating: this.#vacator,
       nowMs,
       wallMs: this.#options.clock.wallMs()
     })
     const runs = round.place()
     for (const run of runs) this.#adopt(run)
-    this.#ledger.step(round.quota.shortages, nowMs)
-    this.#ledger.noteOversized(round.quota.oversized)
+    this.#ledger.reconcile(round.quota.shortages, nowMs)
+    this.#ledger.warnOversized(round.quota.oversized)
     for (const run of round.runsToStop) this.#tracker.discard(run)
     for (const task of round.tasksToGiveUp) {
       if (hasEnded(task.job)) continue
@@ -362,7 +362,7 @@
   }
 
   #adopt (run: Run): void {
-    this.#ledger.noteRun(run)
+    this.#ledger.addRun(run)
     this.#workers.adopt(run)
   }
 
--- a/packages/scheduler/src/lib/jobs/FleetReport.ts
+++ b/packages/scheduler/src/lib/jobs/FleetReport.ts
@@ -6,7 +6,7 @@
 import { decodeJson, Err, Ok, type DecodeProblem, type Result } from '@quillscale/utils'
 import type { KeyValueStore, PlatformError } from '@quillscale/ports'
 import { hasEnded, isLacking, type JobFailure, type JobId, type JobSpec, jobSpecSchema, machinesNeeded, sumGranted, type Resources } from '@quillscale/policy'
-import { quotaKey, decodeQuota, type QuotaRecord } from '../accounts/quotaRecord.js'
+import { quotaKey, decodeQuotaRecord, type QuotaRecord } from '../accounts/quotaRecord.js'
 import { decodeProgress, type JobProgress } from './jobProgress.js'
 import { DEMAND_PREFIX, decodeDemand } from '../records/serviceDemand.js'
 import { cancelKey, DUTY_PREFIX, jobKey, MACHINE_DUTY_KEY, progressKey, serviceDutyKey } from '../records/storeKeys.js'
@@ -95,7 +95,7 @@
     const record = await this.#store.get(key)
     if (record.err) return record
     if (record.val === undefined) return Ok(undefined)
-    const decoded = decodeQuota(record.val.value)
+    const decoded = decodeQuotaRecord(record.val.value)
     return decoded.err ? unreadable(key, decoded.val) : decoded
   }
 }
--- a/packages/scheduler/src/lib/jobs/InboxReader.ts
+++ b/packages/scheduler/src/lib/jobs/InboxReader.ts
@@ -8,8 +8,8 @@
 import type { PrefixChange } from '@quillscale/leases'
 import { createJob, hasEnded, type JobId, type JobSpec, jobSpecSchema, type Run, AccountTokenBuckets } from '@quillscale/policy'
 import type { EventLog } from '../duties/EventLog.js'
-import { decodeGoneReport, type GoneReport } from '../machines/goneReport.js'
-import type { MachineVacator } from '../machines/MachineVacator.js'
+import { decodeMachineLossReport, type MachineLossReport } from '../machines/machineLossReport.js'
+import type { MachineDrainer } from '../machines/MachineDrainer.js'
 import type { RecordReader } from '../records/RecordReader.js'
 import { CANCEL_VALUE, inboxPrefix, parseInboxKey, progressPrefix } from '../records/storeKeys.js'
 import { decodeProgress, restoreProgress } from './jobProgress.js'
@@ -22,13 +22,13 @@
   readonly log: EventLog
   readonly records: RecordReader
   readonly book: RunBook
-  readonly vacator: Pick<MachineVacator, 'request' | 'withdraw'>
+  readonly vacator: Pick<MachineDrainer, 'request' | 'withdraw'>
   /** Jobs a second that are an account's share, `undefined` where that is not known. */
   readonly weightOf: (account: AccountName) => number | undefined
   /** Called for each run that an earlier holder placed. */
   readonly onPlaced: (run: Run) => void
   /** Called when a worker's machine is down or gone. */
-  readonly onGone: (workerId: WorkerId, report: GoneReport) => void
+  readonly onGone: (workerId: WorkerId, report: MachineLossReport) => void
 }
 
 /** The reader. @public */
@@ -83,7 +83,7 @@
   }
 
   #readGone (workerId: WorkerId, item: KeyValue): void {
-    const report = this.#options.records.read(item, decodeGoneReport)
+    const report = this.#options.records.read(item, decodeMachineLossReport)
     if (report !== undefined) this.#options.onGone(workerId, report)
   }
 
--- a/packages/scheduler/src/lib/machines/SightingRecord.ts
+++ b/packages/scheduler/src/lib/machines/LastSeenWorkers.ts
@@ -17,7 +17,7 @@
 const sightingsSchema = z.record(z.string(), z.string())
 
 /** A pool whose record is not what it should be; `undefined` where it is to be removed. @public */
-export interface SightingChange {
+export interface LastSeenChange {
   readonly key: string
   readonly value: string | undefined
 }
@@ -26,7 +26,7 @@
 const WRITE_SPACING_MS = 300
 
 /** The record. @public */
-export class SightingRecord {
+export class LastSeenWorkers {
   readonly #written = new Map<string, string>()
   #writtenMs = -Infinity
 
@@ -50,7 +50,7 @@
    * @param isHandOver - whether there will be no later call
    * @returns what is to be written now
    */
-  changes (list: Iterable<ListedMachine>, nowMs: number, isHandOver = false): SightingChange[] {
+  changesToWrite (list: Iterable<ListedMachine>, nowMs: number, isHandOver = false): LastSeenChange[] {
     if (!isHandOver && nowMs < this.#writtenMs + WRITE_SPACING_MS) return []
     this.#writtenMs = nowMs
     const texts = textsByPool(list)
--- a/packages/scheduler/src/lib/machines/MachineVacator.ts
+++ b/packages/scheduler/src/lib/machines/MachineDrainer.ts
@@ -12,7 +12,7 @@
 import type { WorkerSet } from '../workers/WorkerSet.js'
 
 /** What the vacator works with. @public */
-export interface MachineVacatorOptions {
+export interface MachineDrainerOptions {
   readonly service: string
   readonly clock: Clock
   readonly log: EventLog
@@ -20,22 +20,22 @@
   readonly stop: (run: Run) => void
 }
 
-interface Request { readonly value: string, readonly sinceMs: number, isVacated: boolean }
+interface DrainRequest { readonly value: string, readonly sinceMs: number, isEmpty: boolean }
 
 /** Machines of one service that are to be emptied. @public */
-export class MachineVacator {
-  readonly #options: MachineVacatorOptions
-  readonly #requests = new Map<string, Request>()
+export class MachineDrainer {
+  readonly #options: MachineDrainerOptions
+  readonly #requests = new Map<string, DrainRequest>()
 
   /** @param options - what it works with */
-  constructor (options: MachineVacatorOptions) {
+  constructor (options: MachineDrainerOptions) {
     this.#options = options
   }
 
   /** @param machineId - to be emptied @param value - names the request, repeated in the answer */
   request (machineId: string, value: string): void {
     if (this.#requests.get(machineId)?.value === value) return
-    this.#requests.set(machineId, { value, sinceMs: this.#options.clock.monotonicMs(), isVacated: false })
+    this.#requests.set(machineId, { value, sinceMs: this.#options.clock.monotonicMs(), isEmpty: false })
     this.#options.log.info({ machineId, request: value }, 'machine is being emptied')
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** Moves lasting tasks away from workers that are about to end. @param leaving - those workers @param nowMs - monotonic */
-  stepLeaving (leaving: readonly WorkerLink[], nowMs: number): void {
+  drainLeavingWorkers (leaving: readonly WorkerLink[], nowMs: number): void {
     for (const { instance, runs } of leaving) {
       if (this.isVacating(instance.machineId)) continue
       for (const run of planLeavingWorkerDrain([...runs.values()], nowMs)) {
@@ -68,14 +68,14 @@
    * @param workers - all; one that is not registered at the moment may still run what an earlier holder placed
    * @param nowMs - monotonic
    */
-  step (workers: Pick<WorkerSet, 'links' | 'hasUnmetRuns'>, nowMs: number): void {
+  reconcile (workers: Pick<WorkerSet, 'links' | 'hasUnmetRuns'>, nowMs: number): void {
     for (const [machineId, request] of this.#requests) {
-      if (request.isVacated) continue
+      if (request.isEmpty) continue
       const links = workers.links.filter(({ instance }) => instance.machineId === machineId)
       const runs = links.flatMap((link) => [...link.runs.values()])
       for (const run of planDrain(runs, request.sinceMs, nowMs)) this.#options.stop(run)
       if (runs.length > 0 || (links.length === 0 && workers.hasUnmetRuns)) continue
-      request.isVacated = true
+      request.isEmpty = true
       this.#options.put(vacatedKey(this.#options.service, machineId), () => request.value, true)
       this.#options.log.info({ machineId, request: request.value, tookMs: nowMs - request.sinceMs }, 'machine is empty')
     }
--- a/packages/scheduler/src/lib/machines/MachineDuty.ts
+++ b/packages/scheduler/src/lib/machines/MachineDuty.ts
@@ -14,16 +14,16 @@
 import { createReplica } from '../records/createReplica.js'
 import type { DutyGrant, DutyRunner } from '../duties/DutyElector.js'
 import type { EventLog } from '../duties/EventLog.js'
-import { decodeMachineRecord, encodeMachineRecord, MACHINE_RECORD_KEY, UNKNOWN_MACHINE_RECORD, type MachineRecord, type MachineTask, type WaveProgress } from './machineRecord.js'
+import { decodeMachineDutyRecord, encodeMachineDutyRecord, MACHINE_DUTY_RECORD_KEY, FALLBACK_MACHINE_DUTY_RECORD, type MachineDutyRecord, type MachineTask, type WaveProgress } from './machineDutyRecord.js'
 import { DemandTracker } from '../records/DemandTracker.js'
 import type { RecordReader } from '../records/RecordReader.js'
 import { openFencedBatchWriter } from '../records/openFencedBatchWriter.js'
-import { encodeGoneReport } from './goneReport.js'
-import { OrderPauses } from './OrderPauses.js'
+import { encodeMachineLossReport } from './machineLossReport.js'
+import { OrderCooldowns } from './OrderCooldowns.js'
 import { DEMAND_PREFIX } from '../records/serviceDemand.js'
-import { MachineWatch, type GoneWorker } from './MachineWatch.js'
+import { MachineLossDetector, type LostWorker } from './MachineLossDetector.js'
 import { PoolBalancer } from './PoolBalancer.js'
-import { SightingRecord } from './SightingRecord.js'
+import { LastSeenWorkers } from './LastSeenWorkers.js'
 import { retryUntilAnswered } from '../records/retryUntilAnswered.js'
 import { chainKey, goneKey, SIGHTINGS_PREFIX, vacateKey, vacatedKey, vacatePrefix, VACATED_PREFIX } from '../records/storeKeys.js'
 
@@ -78,9 +78,9 @@
   readonly #waves = new Map<number, WaveProgress>()
   readonly #requests = new Map<number, WaveRequest>()
   readonly #demands: DemandTracker
-  readonly #pauses: OrderPauses
-  readonly #watch = new MachineWatch()
-  readonly #sightings = new SightingRecord()
+  readonly #pauses: OrderCooldowns
+  readonly #watch = new MachineLossDetector()
+  readonly #sightings = new LastSeenWorkers()
   readonly #balancer: PoolBalancer
   #commits!: FencedBatchWriter
   #machines = new Map<string, ListedMachine>()
@@ -94,7 +94,7 @@
     const { store, clock, log } = options
     this.#demands = new DemandTracker(options.records)
     this.#balancer = new PoolBalancer({ log, ordersPerS: options.ordersPerS })
-    this.#pauses = new OrderPauses(() => options.holderChangeMs() + HOLDER_CHANGE_SLACK_MS)
+    this.#pauses = new OrderCooldowns(() => options.holderChangeMs() + HOLDER_CHANGE_SLACK_MS)
     const ignored = (): void => {}
     this.#vacated = createReplica(log, { store, clock, prefix: VACATED_PREFIX, onChange: ignored })
     this.#demandItems = createReplica(log, { store, clock, prefix: DEMAND_PREFIX, spacingMs: DEMAND_SPACING_MS, onChange: ignored })
@@ -117,12 +117,12 @@
         },
         onStoreError: (error, transactionNumber) => log.warn({ error, transactionNumber }, 'records of machines not written yet')
       }, this.#stop.signal),
-      retryUntilAnswered(() => store.get(MACHINE_RECORD_KEY), this.#stop.signal),
+      retryUntilAnswered(() => store.get(MACHINE_DUTY_RECORD_KEY), this.#stop.signal),
       retryUntilAnswered(() => store.list(SIGHTINGS_PREFIX), this.#stop.signal)
     ])
     if (commits === undefined || this.#stop.signal.aborted) return
     this.#commits = commits
-    if (record !== undefined) this.#restore(records.read(record, decodeMachineRecord) ?? UNKNOWN_MACHINE_RECORD)
+    if (record !== undefined) this.#restore(records.read(record, decodeMachineDutyRecord) ?? FALLBACK_MACHINE_DUTY_RECORD)
     if (sightings !== undefined) this.#watch.restore(this.#sightings.restore(sightings.items, records))
     await this.#releaseForgotten()
     await Promise.all([this.#commits.run(), this.#vacated.run(this.#stop.signal), this.#demandItems.run(this.#stop.signal), this.#rounds()])
@@ -143,7 +143,7 @@
     await this.#commits.flushWithin(timeoutMs)
   }
 
-  #restore ({ tasks, waves, pauses, allPausedMs }: MachineRecord): void {
+  #restore ({ tasks, waves, cooldowns: pauses, allPausedMs }: MachineDutyRecord): void {
     this.#pauses.restore(pauses, allPausedMs, this.#options.clock.monotonicMs())
     for (const wave of waves) this.#waves.set(wave.wave, wave)
     for (const task of tasks) {
@@ -200,22 +200,22 @@
     }
     const listedMachines = new Map(listed.val.map((machine) => [machine.machineId, machine]))
     this.#machines = listedMachines
-    this.#tellOfGone(this.#watch.note(listedMachines), askedWallMs)
+    this.#tellOfGone(this.#watch.detect(listedMachines), askedWallMs)
     this.#listedMs = askedMs
     this.#recordSightings(false)
   }
 
   #recordSightings (isHandOver: boolean): void {
-    const changes = this.#sightings.changes(this.#machines.values(), this.#options.clock.monotonicMs(), isHandOver)
+    const changes = this.#sightings.changesToWrite(this.#machines.values(), this.#options.clock.monotonicMs(), isHandOver)
     for (const { key, value } of changes) this.#commits.put(key, () => value, isHandOver)
   }
 
   /** A scheduler would wait until all leases of a worker that went silent are over; a machine that is down ends that wait. */
-  #tellOfGone (gone: readonly GoneWorker[], listedWallMs: number): void {
+  #tellOfGone (gone: readonly LostWorker[], listedWallMs: number): void {
     const services = this.#options.services()
     for (const { service, workerId, machineId } of gone) {
       if (!services.includes(service)) continue
-      this.#put({ key: goneKey(service, workerId), value: encodeGoneReport({ machineId, listedWallMs }) })
+      this.#put({ key: goneKey(service, workerId), value: encodeMachineLossReport({ machineId, listedWallMs }) })
       this.#options.log.warn({ service, workerId, machineId }, 'machine is down or gone')
     }
   }
@@ -312,7 +312,7 @@
 
   #isReady (task: MachineTask): boolean {
     const nowMs = this.#options.clock.monotonicMs()
-    if (this.#pauses.isPaused(task.machineId, nowMs)) return false
+    if (this.#pauses.isCoolingDown(task.machineId, nowMs)) return false
     if (task.state === 'ordered') return nowMs - task.orderedMs > REPEAT_MS
     return task.state === 'vacating' && (task.from === '' || this.#vacated.items.get(vacatedKey(task.from, task.machineId))?.value === task.request)
   }
@@ -324,7 +324,7 @@
     for (const task of ready) {
       task.state = 'ordered'
       task.orderedMs = this.#options.clock.monotonicMs()
-      this.#pauses.begin(task.machineId)
+      this.#pauses.beginOrder(task.machineId)
     }
     this.#record()
     if (!await this.#commits.flushed()) return
@@ -333,13 +333,13 @@
 
   async #send (task: MachineTask): Promise<void> {
     const { machines, hostName, fencingToken, log, holdsDuty: mayOrder, clock } = this.#options
-    if (!mayOrder()) return this.#pauses.end(task.machineId, clock.monotonicMs())
+    if (!mayOrder()) return this.#pauses.endOrder(task.machineId, clock.monotonicMs())
     const order = { machineId: task.machineId, holder: hostName, fencingToken }
     const sent = await (task.kind === 'upkeep' ? machines.upkeep(order, task.wave) : machines.move(order, task.to))
     const outcome = sent.ok ? sent.val : sent.val.kind
     log.info({ machineId: task.machineId, kind: task.kind, wave: task.wave, to: task.to, fencingToken, outcome }, 'machine ordered')
     task.orderedMs = clock.monotonicMs()
-    this.#pauses.end(task.machineId, task.orderedMs)
+    this.#pauses.endOrder(task.machineId, task.orderedMs)
     if (sent.ok) this.#applyOutcome(task, sent.val)
   }
 
@@ -349,7 +349,7 @@
       task.state = 'begun'
       return this.#record()
     }
-    if (outcome === 'unknown-machine' && task.kind === 'move') this.#balancer.noteRefused(task.machineId, task.to)
+    if (outcome === 'unknown-machine' && task.kind === 'move') this.#balancer.recordRefusal(task.machineId, task.to)
     if (outcome === 'busy' && task.kind === 'upkeep') return
     this.#finish(task, outcome)
   }
@@ -361,17 +361,20 @@
   /** Also a next holder after a kill waits for not much more than what is left. */
   #renewPauses (): void {
     const nowMs = this.#options.clock.monotonicMs()
-    if (nowMs > this.#recordedMs + PAUSES_RENEWED_MS && (this.#pauses.left(nowMs).length > 0 || this.#pauses.allLeftMs(nowMs) > 0)) this.#record()
+    if (nowMs > this.#recordedMs + PAUSES_RENEWED_MS && (this.#pauses.left(nowMs).length > 0 || this.#pauses.globalRemainingMs(nowMs) > 0)) this.#record()
   }
 
   #record (): void {
     this.#recordedMs = this.#options.clock.monotonicMs()
     const text = (): string => {
       const nowMs = this.#options.clock.monotonicMs()
-      return encodeMachineRecord({
-        tasks: [...this.#tasks.values()], waves: [...this.#waves.values()], pauses: this.#pauses.left(nowMs), allPausedMs: this.#pauses.allLeftMs(nowMs)
+      return encodeMachineDutyRecord({
+        tasks: [...this.#tasks.values()],
+        waves: [...this.#waves.values()],
+        cooldowns: this.#pauses.left(nowMs),
+        allPausedMs: this.#pauses.globalRemainingMs(nowMs)
       })
     }
-    this.#commits.put(MACHINE_RECORD_KEY, text, true)
+    this.#commits.put(MACHINE_DUTY_RECORD_KEY, text, true)
   }
 }
--- a/packages/scheduler/src/lib/machines/MachineWatch.ts
+++ b/packages/scheduler/src/lib/machines/MachineLossDetector.ts
@@ -6,7 +6,7 @@
 import type { ListedMachine, WorkerId } from '@quillscale/ports'
 
 /** A worker whose machine is down or not there any more. @public */
-export interface GoneWorker {
+export interface LostWorker {
   readonly machineId: string
   readonly service: string
   readonly workerId: WorkerId
@@ -20,32 +20,32 @@
  *
  * @public
  */
-export class MachineWatch {
-  #last: ReadonlyMap<string, ListedMachine> = new Map()
+export class MachineLossDetector {
+  #lastList: ReadonlyMap<string, ListedMachine> = new Map()
   /** Not in the last list, though in the one before: the pages of a list are no snapshot, so one list proves nothing. */
-  #missing = new Map<string, ListedMachine>()
+  #missingOnce = new Map<string, ListedMachine>()
   /** The last list is a former holder's: machines may have gone down and come back since. */
   #isRestored = false
 
   /** @param last - the machines as former holders last saw them */
   restore (last: ReadonlyMap<string, ListedMachine>): void {
-    this.#last = last
+    this.#lastList = last
     this.#isRestored = true
   }
 
   /** @param list - the present one @returns the workers that it shows to be gone, each once */
-  note (list: ReadonlyMap<string, ListedMachine>): GoneWorker[] {
-    const down = [...this.#last.values()].filter(({ machineId }) => list.get(machineId)?.state === 'down')
-    const takenAway = [...this.#missing.values()].filter(({ machineId }) => !list.has(machineId))
-    this.#missing = new Map([...this.#last].filter(([machineId]) => !list.has(machineId)))
-    const replaced = this.#isRestored ? [...this.#last.values()].filter((machine) => hasOtherWorker(machine, list)) : []
+  detect (list: ReadonlyMap<string, ListedMachine>): LostWorker[] {
+    const down = [...this.#lastList.values()].filter(({ machineId }) => list.get(machineId)?.state === 'down')
+    const takenAway = [...this.#missingOnce.values()].filter(({ machineId }) => !list.has(machineId))
+    this.#missingOnce = new Map([...this.#lastList].filter(([machineId]) => !list.has(machineId)))
+    const replaced = this.#isRestored ? [...this.#lastList.values()].filter((machine) => hasDifferentWorker(machine, list)) : []
     this.#isRestored = false
-    this.#last = list
+    this.#lastList = list
     return [...down, ...takenAway, ...replaced].flatMap(({ machineId, pool, workerId }) => workerId === '' ? [] : [{ machineId, service: pool, workerId }])
   }
 }
 
-function hasOtherWorker ({ machineId, workerId }: ListedMachine, list: ReadonlyMap<string, ListedMachine>): boolean {
+function hasDifferentWorker ({ machineId, workerId }: ListedMachine, list: ReadonlyMap<string, ListedMachine>): boolean {
   const now = list.get(machineId)?.workerId ?? ''
   return now !== '' && now !== workerId
 }
--- a/packages/scheduler/src/lib/machines/PoolBalancer.ts
+++ b/packages/scheduler/src/lib/machines/PoolBalancer.ts
@@ -16,7 +16,7 @@
 }
 
 /** What is known of pools and machines at the moment. @public */
-export type PoolSituation = Pick<PoolPlanningInput, 'demands' | 'headroomPools' | 'machines' | 'busy'>
+export type PoolSnapshot = Pick<PoolPlanningInput, 'demands' | 'headroomPools' | 'machines' | 'busy'>
 
 /** Share of the platform's rate that is used for moves: upkeep and repeated orders need the rest. */
 const MOVES_SHARE = 0.8
@@ -43,12 +43,12 @@
   }
 
   /** @param machineId - that cannot go to a pool @param pool - which */
-  noteRefused (machineId: string, pool: string): void {
+  recordRefusal (machineId: string, pool: string): void {
     this.#refused.add(`${machineId} ${pool}`)
   }
 
   /** @param situation - at the moment @param nowMs - monotonic @returns the moves that should begin now */
-  plan (situation: PoolSituation, nowMs: number): PoolMove[] {
+  plan (situation: PoolSnapshot, nowMs: number): PoolMove[] {
     this.#beganMs ??= nowMs
     const { demands } = situation
     const view: PoolPlanningInput = {
@@ -61,12 +61,12 @@
       mayReleaseMachines: nowMs - this.#beganMs > NEED_WINDOW_MS
     }
     const counts = countPools(view)
-    this.#shortages.note(counts, nowMs)
+    this.#shortages.logChanges(counts, nowMs)
     return planPools(view, counts)
   }
 
   /** Machines that are up while no worker of theirs is ready for work: it cannot be reached, ends, or is not known. */
-  #unusable ({ demands, machines, busy }: PoolSituation, nowMs: number): Set<string> {
+  #unusable ({ demands, machines, busy }: PoolSnapshot, nowMs: number): Set<string> {
     const usableBy = new Map(demands.map(({ service, runsByMachine }) => [service, runsByMachine]))
     const isUseless = ({ machineId, pool, state }: ListedMachine): boolean =>
       state === 'up' && !busy.has(machineId) && usableBy.get(pool)?.has(machineId) === false
--- a/packages/scheduler/src/lib/machines/ShortageLog.ts
+++ b/packages/scheduler/src/lib/machines/ShortageLog.ts
@@ -9,12 +9,12 @@
 /** A shortage that changes is logged this often for each service. */
 const LINE_SPACING_MS = 1000
 
-interface Line { readonly text: string, readonly atMs: number }
+interface LoggedShortage { readonly text: string, readonly atMs: number }
 
 /** The log of shortages. @public */
 export class ShortageLog {
   readonly #log: EventLog
-  readonly #lines = new Map<string, Line>()
+  readonly #lines = new Map<string, LoggedShortage>()
 
   /** @param log - where the lines go */
   constructor (log: EventLog) {
@@ -22,7 +22,7 @@
   }
 
   /** @param counts - of all services whose need is known @param nowMs - monotonic */
-  note (counts: readonly PoolCount[], nowMs: number): void {
+  logChanges (counts: readonly PoolCount[], nowMs: number): void {
     for (const { demand: { service, runsByMachine }, need, have } of counts) {
       const usable = runsByMachine.size
       const text = usable >= need ? '' : `${need} ${have} ${usable}`
--- a/packages/scheduler/src/lib/machines/machineRecord.ts
+++ b/packages/scheduler/src/lib/machines/machineDutyRecord.ts
@@ -5,10 +5,10 @@
  */
 import { decodeJson, type DecodeProblem, type Result } from '@quillscale/utils'
 import * as z from 'zod'
-import type { OrderPause } from './OrderPauses.js'
+import type { OrderCooldown } from './OrderCooldowns.js'
 
 /** Where it is kept. @public */
-export const MACHINE_RECORD_KEY = 'machines/under-way'
+export const MACHINE_DUTY_RECORD_KEY = 'machines/under-way'
 
 const taskSchema = z.object({
   machineId: z.string(),
@@ -53,29 +53,29 @@
 export type WaveProgress = z.infer<typeof waveSchema>
 
 /** What is kept. @public */
-export interface MachineRecord {
+export interface MachineDutyRecord {
   readonly tasks: ReadonlyArray<z.infer<typeof taskSchema>>
   readonly waves: readonly WaveProgress[]
-  readonly pauses: readonly OrderPause[]
+  readonly cooldowns: readonly OrderCooldown[]
   /** For how long no machine at all must be ordered. */
   readonly allPausedMs: number
 }
 
 /** @param record - what is kept @returns the record @public */
-export function encodeMachineRecord ({ tasks, waves, pauses, allPausedMs }: MachineRecord): string {
+export function encodeMachineDutyRecord ({ tasks, waves, cooldowns, allPausedMs }: MachineDutyRecord): string {
   const kept = tasks.map(({ machineId, kind, wave, from, to, state, request }) => ({ machineId, kind, wave, from, to, state, request }))
-  const ordered = pauses.map(({ machineId }) => machineId)
-  const pausesMs = Object.fromEntries(pauses.map(({ machineId, leftMs }) => [machineId, leftMs]))
+  const ordered = cooldowns.map(({ machineId }) => machineId)
+  const pausesMs = Object.fromEntries(cooldowns.map(({ machineId, remainingMs }) => [machineId, remainingMs]))
   return JSON.stringify({ tasks: kept, waves, ordered, pausesMs, allPausedMs })
 }
 
 /** What a holder goes by that knows nothing of the one before: any machine may just have been ordered. @public */
-export const UNKNOWN_MACHINE_RECORD: MachineRecord = { tasks: [], waves: [], pauses: [], allPausedMs: Infinity }
+export const FALLBACK_MACHINE_DUTY_RECORD: MachineDutyRecord = { tasks: [], waves: [], cooldowns: [], allPausedMs: Infinity }
 
 /** @param text - as kept @returns what it holds, or why it cannot be read @public */
-export function decodeMachineRecord (text: string): Result<MachineRecord, DecodeProblem> {
+export function decodeMachineDutyRecord (text: string): Result<MachineDutyRecord, DecodeProblem> {
   return decodeJson(recordSchema, text).map(({ tasks, waves, pausesMs, allPausedMs }) => {
-    const pauses = Object.entries(pausesMs ?? {}).map(([machineId, leftMs]) => ({ machineId, leftMs }))
-    return { tasks, waves, pauses, allPausedMs: pausesMs === undefined ? Infinity : allPausedMs }
+    const cooldowns = Object.entries(pausesMs ?? {}).map(([machineId, remainingMs]) => ({ machineId, remainingMs }))
+    return { tasks, waves, cooldowns, allPausedMs: pausesMs === undefined ? Infinity : allPausedMs }
   })
 }
--- a/packages/scheduler/src/lib/workers/WorkerSet.ts
+++ b/packages/scheduler/src/lib/workers/WorkerSet.ts
@@ -9,7 +9,7 @@
 import type { EventLog } from '../duties/EventLog.js'
 import type { WorkerLoss } from '../jobs/CrashBook.js'
 import type { LossEvidence } from '../jobs/RunBook.js'
-import type { GoneReport } from '../machines/goneReport.js'
+import type { MachineLossReport } from '../machines/machineLossReport.js'
 import { LeaseBounds } from './LeaseBounds.js'
 import { isOverByList, MACHINE_GONE, OTHER_LIFETIME, OverLifetimes } from './OverLifetimes.js'
 import { FORMER_LEASES_OVER, LEASES_OVER, RunLosses, STARTED_AGAIN } from './RunLosses.js'
@@ -174,7 +174,7 @@
    * @param workerId - whose
    * @param report - on its machine
    */
-  noteGone (workerId: WorkerId, { machineId, listedWallMs }: GoneReport): void {
+  noteGone (workerId: WorkerId, { machineId, listedWallMs }: MachineLossReport): void {
     const link = this.links.find(({ instance }) => workerIdOf(instance.instanceId) === workerId)
     if (link !== undefined && link.instance.machineId !== '' && link.instance.machineId !== machineId) {
       this.#options.log.warn({ workerId, machineId, runsOn: link.instance.machineId }, 'not believed that a worker is gone: it runs on another machine')
--- a/packages/scheduler/src/test/StandInMachines.ts
+++ b/packages/scheduler/src/test/FakeMachineControl.ts
@@ -4,22 +4,22 @@
 
 const DOWN_MS = 60
 /** The pool whose machines are off. */
-export const PARKED = 'parked'
+export const PARKED_POOL = 'parked'
 
 /** An order that was carried out. */
-export interface Ordered extends MachineOrder { readonly atMs: number, readonly what: string }
+export interface RecordedOrder extends MachineOrder { readonly atMs: number, readonly what: string }
 
 /** Machines of the service under test; upkeep and moves replace the worker's lifetime. */
-export class StandInMachines implements MachineControl {
-  readonly orders: Ordered[] = []
+export class FakeMachineControl implements MachineControl {
+  readonly orders: RecordedOrder[] = []
   readonly #machines = new Map<string, ListedMachine>()
   readonly #lives = new Map<string, number>()
-  mostDown = 0
+  maxDown = 0
 
   constructor (readonly service: TestService, count: number, parked: number) {
     for (let index = 0; index < count + parked; index++) {
       const isParked = index >= count
-      this.#set(`m${index}`, isParked ? PARKED : SERVICE, 'up', isParked ? '' : `w${index}-1`)
+      this.#set(`m${index}`, isParked ? PARKED_POOL : SERVICE, 'up', isParked ? '' : `w${index}-1`)
     }
   }
 
@@ -60,7 +60,7 @@
     this.service.runs.workers.get(machine.workerId)?.crash()
     if (machine.workerId !== '') this.service.unlist(machine.workerId)
     this.#set(order.machineId, pool, state, '')
-    this.mostDown = Math.max(this.mostDown, [...this.#machines.values()].filter((each) => each.state === 'upkeep').length)
+    this.maxDown = Math.max(this.maxDown, [...this.#machines.values()].filter((each) => each.state === 'upkeep').length)
     setTimeout(() => this.#comeBack(order.machineId, pool), DOWN_MS)
     return Ok('accepted')
   }
@@ -69,7 +69,7 @@
     const life = (this.#lives.get(machineId) ?? 1) + 1
     this.#lives.set(machineId, life)
     const index = Number(machineId.slice(1))
-    this.#set(machineId, pool, 'up', pool === PARKED ? '' : `w${index}-${life}`)
-    if (pool !== PARKED) this.service.addWorker(index, life)
+    this.#set(machineId, pool, 'up', pool === PARKED_POOL ? '' : `w${index}-${life}`)
+    if (pool !== PARKED_POOL) this.service.addWorker(index, life)
   }
 }
--- a/packages/scheduler/src/test/SightingRecord.test.ts
+++ b/packages/scheduler/src/test/LastSeenWorkers.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import type { ListedMachine, MachineState, WorkerId } from '@quillscale/ports'
 import { SchedulerMetrics } from '../lib/duties/SchedulerMetrics.js'
-import { SightingRecord } from '../lib/machines/SightingRecord.js'
+import { LastSeenWorkers } from '../lib/machines/LastSeenWorkers.js'
 import { RecordReader } from '../lib/records/RecordReader.js'
 import { sightingsKey } from '../lib/records/storeKeys.js'
 import { TestLog } from './TestService.js'
@@ -21,15 +21,15 @@
     { name: 'no machine that is not up, and no pool without any', list: [LIST[0] as ListedMachine, LIST[1] as ListedMachine, machine('m3', 'b', 'i-3', 'down')], atMs: 6000, expected: [{ key: B.key, value: undefined }] }
   ]
   it('is written as machines change, by pool', () => {
-    const record = new SightingRecord()
-    for (const { name, list, atMs, expected } of cases) expect(record.changes(list, atMs), name).to.deep.equal(expected)
-    expect(record.changes(LIST, 6100, true), 'at a hand-over at once').to.deep.equal([B])
+    const record = new LastSeenWorkers()
+    for (const { name, list, atMs, expected } of cases) expect(record.changesToWrite(list, atMs), name).to.deep.equal(expected)
+    expect(record.changesToWrite(LIST, 6100, true), 'at a hand-over at once').to.deep.equal([B])
   })
 
   it('is taken over, and not written again as it was', () => {
-    const record = new SightingRecord()
+    const record = new LastSeenWorkers()
     const restored = record.restore([A, B].map((item) => ({ ...item, modRevision: 1 })), new RecordReader(new TestLog(), new SchedulerMetrics()))
     expect([...restored.values()].map(({ machineId, pool, workerId }) => `${machineId} ${pool} ${workerId}`)).to.deep.equal(['m1 a i-1', 'm2 a i-2', 'm3 b i-3'])
-    expect(record.changes(LIST, 0)).to.deep.equal([])
+    expect(record.changesToWrite(LIST, 0)).to.deep.equal([])
   })
 })
--- a/packages/scheduler/src/test/MachineVacator.test.ts
+++ b/packages/scheduler/src/test/MachineDrainer.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import { systemClock } from '@quillscale/utils'
-import { MachineVacator } from '../lib/machines/MachineVacator.js'
+import { MachineDrainer } from '../lib/machines/MachineDrainer.js'
 import { vacatedKey } from '../lib/records/storeKeys.js'
 import type { WorkerLink } from '../lib/workers/WorkerLink.js'
 import { TestLog } from './TestService.js'
@@ -16,9 +16,9 @@
   for (const { name, links, hasUnmetRuns, isReported } of cases) {
     it(`${isReported ? 'reports' : 'does not report'} a machine as empty with ${name}`, () => {
       const written: string[] = []
-      const vacator = new MachineVacator({ service: 'grids', clock: systemClock, log: new TestLog(), put: (key) => written.push(key), stop: () => {} })
+      const vacator = new MachineDrainer({ service: 'grids', clock: systemClock, log: new TestLog(), put: (key) => written.push(key), stop: () => {} })
       vacator.request('m1', 'upkeep 1.1')
-      vacator.step({ links, hasUnmetRuns }, systemClock.monotonicMs())
+      vacator.reconcile({ links, hasUnmetRuns }, systemClock.monotonicMs())
       expect(written).to.deep.equal(isReported ? [vacatedKey('grids', 'm1')] : [])
     })
   }
@@ -26,8 +26,8 @@
   it('leaves the next service\'s report standing when a former one hears late that its machine has left', () => {
     const kept = new Map<string, string | undefined>()
     const put = (key: string, source: () => string | undefined): void => { kept.set(key, source()) }
-    const [former, next] = ['grids', 'checks'].map((service) => new MachineVacator({ service, clock: systemClock, log: new TestLog(), put, stop: () => {} }))
-    const step = (vacator: MachineVacator | undefined): void => vacator?.step({ links: [link], hasUnmetRuns: false }, systemClock.monotonicMs())
+    const [former, next] = ['grids', 'checks'].map((service) => new MachineDrainer({ service, clock: systemClock, log: new TestLog(), put, stop: () => {} }))
+    const step = (vacator: MachineDrainer | undefined): void => vacator?.reconcile({ links: [link], hasUnmetRuns: false }, systemClock.monotonicMs())
     former?.request('m1', 'move 1.1')
     step(former)
     next?.request('m1', 'upkeep 1.2')
--- a/packages/scheduler/src/test/MachineDuty.test.ts
+++ b/packages/scheduler/src/test/MachineDuty.test.ts
@@ -1,11 +1,11 @@
 import { expect } from 'chai'
 import { delay, systemClock } from '@quillscale/utils'
 import { workerIdOf, type MachineControl, type WaveRequest } from '@quillscale/ports'
-import { decodeGoneReport } from '../lib/machines/goneReport.js'
+import { decodeMachineLossReport } from '../lib/machines/machineLossReport.js'
 import { MachineDuty } from '../lib/machines/MachineDuty.js'
-import { MACHINE_RECORD_KEY } from '../lib/machines/machineRecord.js'
+import { MACHINE_DUTY_RECORD_KEY } from '../lib/machines/machineDutyRecord.js'
 import { goneKey, MACHINE_DUTY_KEY, sightingsKey, vacateKey } from '../lib/records/storeKeys.js'
-import { PARKED, StandInMachines, type Ordered } from './StandInMachines.js'
+import { PARKED_POOL, FakeMachineControl, type RecordedOrder } from './FakeMachineControl.js'
 import { SERVICE, TestService } from './TestService.js'
 
 const HOLDER_CHANGE_MS = 300
@@ -39,7 +39,7 @@
       log: service.log,
       records: service.records,
       waves: () => waves,
-      headroomPools: () => [PARKED],
+      headroomPools: () => [PARKED_POOL],
       services: () => [SERVICE],
       waveStatus: (wave, isDone) => {
         statuses.push(`${wave} ${isDone ? 'done' : 'running'}`)
@@ -56,7 +56,7 @@
   it('keeps every machine of a wave up once, so many at a time, and no task of a step away beside another', async () => {
     service = new TestService(4)
     service.maxLeaseMs = 3000
-    const machines = new StandInMachines(service, 4, 2)
+    const machines = new FakeMachineControl(service, 4, 2)
     await service.takeOver()
     await service.submit(1, { runMs: 0 }, [{ taskCount: 4, isLasting: true, maxAway: 1, maxPerWorker: 2 }])
     await service.until('all run', () => service.runs.records.length === 4)
@@ -65,14 +65,14 @@
     await service.until('the wave is done', () => statuses.includes('1 done'), 15_000)
     const kept = machines.orders.filter(({ what }) => what === 'upkeep').map(({ machineId }) => machineId)
     expect([...kept].sort()).to.deep.equal(wave.machineIds)
-    expect(machines.mostDown).to.be.at.most(2)
+    expect(machines.maxDown).to.be.at.most(2)
     await service.until('all tasks run again', () => service.runs.records.filter(({ endedMs }) => endedMs === undefined).length === 4)
     expect(service.duplicatedTasks).to.deep.equal([])
   }).timeout(20_000)
 
   it('gives a service that wants more a parked machine', async () => {
     service = new TestService(1)
-    const machines = new StandInMachines(service, 1, 2)
+    const machines = new FakeMachineControl(service, 1, 2)
     await service.takeOver()
     await service.submit(1, { runMs: 3000 }, [{ taskCount: 8 }])
     await take(machines, [])
@@ -83,7 +83,7 @@
   it('a next holder goes on with the wave, and waits before it repeats a former one’s order', async () => {
     service = new TestService(3)
     service.maxLeaseMs = 3000
-    const machines = new StandInMachines(service, 3, 0)
+    const machines = new FakeMachineControl(service, 3, 0)
     await service.takeOver()
     const wave = { wave: 1, machineIds: ['m0', 'm1', 'm2'], deadlineMs: 20_000, maxAtOnce: 1 }
     const first = await take(machines, [wave], 'first')
@@ -105,7 +105,7 @@
   it('a next holder orders no machine so soon after a former one’s order, though that was done', async () => {
     service = new TestService(1)
     holderChangeMs = 2000
-    const machines = new StandInMachines(service, 1, 1)
+    const machines = new FakeMachineControl(service, 1, 1)
     await service.takeOver()
     await service.submit(1, { runMs: 0 }, [{ taskCount: 4, isLasting: true }])
     const first = await take(machines, [], 'first')
@@ -121,13 +121,13 @@
   /** The machine that a worker is reported to have lost. */
   async function reportedMachine (instanceId: string): Promise<string | undefined> {
     const item = (await service.store.get(goneKey(SERVICE, workerIdOf(instanceId)))).unwrap()
-    return item === undefined ? undefined : decodeGoneReport(item.value).unwrap().machineId
+    return item === undefined ? undefined : decodeMachineLossReport(item.value).unwrap().machineId
   }
 
   for (const { how, flushMs } of [{ how: 'stopped as planned', flushMs: 500 }, { how: 'killed', flushMs: 0 }]) {
     it(`a next holder tells of a machine that went down while the duty changed hands; the former one was ${how}`, async () => {
       service = new TestService(2)
-      const machines = new StandInMachines(service, 2, 0)
+      const machines = new FakeMachineControl(service, 2, 0)
       const first = await take(machines, [], 'first')
       await service.until('its sightings are written', async () => (await service.store.get(sightingsKey(SERVICE))).unwrap()?.value.includes('w0-1') === true)
       if (flushMs > 0) await first.flush(flushMs)
@@ -143,14 +143,14 @@
     it(`the pause after a former holder's order neither ends early nor begins anew: ${takeOvers} take-overs, ${tenureMs} ms apart`, async () => {
       service = new TestService(1)
       holderChangeMs = 2000
-      const machines = new StandInMachines(service, 1, 1)
+      const machines = new FakeMachineControl(service, 1, 1)
       await service.takeOver()
       await service.submit(1, { runMs: 0 }, [{ taskCount: 4, isLasting: true }])
       let duty = await take(machines, [], 'first')
       await service.until('a machine came', () => machines.poolOf('m1') === SERVICE)
       await service.until('its move is over', () => service.log.lines.some((line) => line.startsWith('machine released') && line.includes('m1')))
       const wave = { wave: 1, machineIds: ['m1'], deadlineMs: 20_000, maxAtOnce: 1 }
-      const ordersOfM1 = (): readonly Ordered[] => machines.orders.filter(({ machineId }) => machineId === 'm1')
+      const ordersOfM1 = (): readonly RecordedOrder[] => machines.orders.filter(({ machineId }) => machineId === 'm1')
       for (let number = 1; number <= takeOvers && ordersOfM1().length === 1; number++) {
         await duty.flush(500)
         duty.close()
@@ -168,7 +168,7 @@
   it('a next holder orders nothing so soon where a host of the version before wrote in between, which forgets what others ordered', async () => {
     service = new TestService(1)
     holderChangeMs = 2000
-    const machines = new StandInMachines(service, 1, 1)
+    const machines = new FakeMachineControl(service, 1, 1)
     await service.takeOver()
     await service.submit(1, { runMs: 0 }, [{ taskCount: 4, isLasting: true }])
     const first = await take(machines, [], 'first')
@@ -176,7 +176,7 @@
     await service.until('its move is over', () => service.log.lines.some((line) => line.startsWith('machine released') && line.includes('m1')))
     await first.flush(500)
     first.close()
-    service.write(MACHINE_RECORD_KEY, JSON.stringify({ tasks: [], waves: [], ordered: [] }))
+    service.write(MACHINE_DUTY_RECORD_KEY, JSON.stringify({ tasks: [], waves: [], ordered: [] }))
     const second = await take(machines, [], 'second')
     await delay(600)
     await second.flush(500)
@@ -191,7 +191,7 @@
     service = new TestService(1)
     service.write(vacateKey(SERVICE, 'm0'), 'move 1.1')
     await service.takeOver()
-    await take(new StandInMachines(service, 1, 0), [])
+    await take(new FakeMachineControl(service, 1, 0), [])
     const jobId = await service.submit(1, { runMs: 10 })
     await service.untilStatus(jobId, 'succeeded')
   })
--- a/packages/scheduler/src/test/MachineWatch.test.ts
+++ b/packages/scheduler/src/test/MachineLossDetector.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import type { ListedMachine, MachineState, WorkerId } from '@quillscale/ports'
-import { MachineWatch } from '../lib/machines/MachineWatch.js'
+import { MachineLossDetector } from '../lib/machines/MachineLossDetector.js'
 
 type List = Map<string, ListedMachine>
 
@@ -31,16 +31,16 @@
   ]
   for (const { name, lists: [seen, ...lists], expected } of restored) {
     it(`finds ${expected.length} of ${name}`, () => {
-      const watch = new MachineWatch()
+      const watch = new MachineLossDetector()
       watch.restore(seen ?? new Map())
-      expect(lists.flatMap((list) => watch.note(list)).map(({ workerId }) => workerId)).to.deep.equal(expected)
+      expect(lists.flatMap((list) => watch.detect(list)).map(({ workerId }) => workerId)).to.deep.equal(expected)
     })
   }
 
   for (const { name, lists, expected } of cases) {
     it(`finds ${expected.length} of ${name}`, () => {
-      const watch = new MachineWatch()
-      expect(lists.flatMap((list) => watch.note(list)).map(({ workerId }) => workerId)).to.deep.equal(expected)
+      const watch = new MachineLossDetector()
+      expect(lists.flatMap((list) => watch.detect(list)).map(({ workerId }) => workerId)).to.deep.equal(expected)
     })
   }
 })
--- a/packages/scheduler/src/test/PoolBalancer.test.ts
+++ b/packages/scheduler/src/test/PoolBalancer.test.ts
@@ -5,7 +5,7 @@
 import { workerIdOf, type ListedMachine } from '@quillscale/ports'
 import type { ServiceDemand } from '@quillscale/policy'
 import { PoolBalancer } from '../lib/machines/PoolBalancer.js'
-import { PARKED } from './StandInMachines.js'
+import { PARKED_POOL } from './FakeMachineControl.js'
 import { SERVICE, TestLog } from './TestService.js'
 
 const ORDERS_PER_S = 64
@@ -41,7 +41,7 @@
         machines.set(machineId, { machineId, pool, state: 'up', availabilityZone: 'z', workerId: workerIdOf(machineId) })
       }
       for (let index = 0; index < count; index++) add(`m${index}`, SERVICE)
-      for (let index = 0; index < need; index++) add(`p${index}`, PARKED)
+      for (let index = 0; index < need; index++) add(`p${index}`, PARKED_POOL)
       const moved = new Map<string, string>()
       for (let atMs = 0; atMs <= MOST_WAIT_MS; atMs += ROUND_MS) {
         const usable = [...Array(usableAt(atMs)).keys()].map((index) => `m${index}`)
@@ -52,7 +52,9 @@
           machineMillis: MACHINE_MILLIS,
           runsByMachine: new Map(usable.map((machineId) => [machineId, 8]))
         }
-        for (const { machineId, to } of balancer.plan({ demands: [demand], headroomPools: [PARKED], machines, busy: moved }, atMs)) moved.set(machineId, to)
+        for (const { machineId, to } of balancer.plan({
+          demands: [demand], headroomPools: [PARKED_POOL], machines, busy: moved
+        }, atMs)) moved.set(machineId, to)
       }
       expect([...moved.values()].filter((to) => to === SERVICE).length).to.equal(moves)
     })
--- a/packages/scheduler/src/test/QuotaLedger.test.ts
+++ b/packages/scheduler/src/test/QuotaLedger.test.ts
@@ -4,7 +4,7 @@
 import { createJob, jobSpecSchema, QuotaAdmission, tasksOf, type QuotaClaim, type Resources, type Run, type Task } from '@quillscale/policy'
 import { accountsOf } from '../lib/accounts/AccountDirectory.js'
 import { QuotaLedger } from '../lib/accounts/QuotaLedger.js'
-import { encodeQuota, quotaKey } from '../lib/accounts/quotaRecord.js'
+import { encodeQuotaRecord, quotaKey } from '../lib/accounts/quotaRecord.js'
 import { RecordReader } from '../lib/records/RecordReader.js'
 import { SchedulerMetrics } from '../lib/duties/SchedulerMetrics.js'
 import { FaultyStore, testJobId, TestLog } from './TestService.js'
@@ -48,7 +48,7 @@
       count: (kind) => metrics.count('quota_writes', kind),
       onChange: () => {}
     })
-    this.ledger.begin(this.stop.signal)
+    this.ledger.start(this.stop.signal)
     void this.#rounds()
   }
 
@@ -60,26 +60,26 @@
   }
 
   round (nowMs: number): void {
-    const quota = new QuotaAdmission((account) => this.ledger.roomOf(account, nowMs))
+    const quota = new QuotaAdmission((account) => this.ledger.quotaFor(account, nowMs))
     const admitted = quota.admit(this.waiting)
     for (const task of admitted) quota.consume(task)
     this.waiting = this.waiting.slice(admitted.length)
     for (const task of admitted) this.#start(task)
-    this.ledger.step(quota.shortages, nowMs)
+    this.ledger.reconcile(quota.shortages, nowMs)
   }
 
   #start (task: Task): void {
     this.startedMs ??= performance.now()
     const run = { task } as unknown as Run
     this.running.add(run)
-    this.ledger.noteRun(run)
+    this.ledger.addRun(run)
     this.#fleet.noteMost()
     setTimeout(() => this.end(run), this.runMs)
   }
 
   end (run: Run): void {
     if (this.stop.signal.aborted || !this.running.delete(run)) return
-    this.ledger.noteEnd(run)
+    this.ledger.removeRun(run)
   }
 }
 
@@ -129,7 +129,7 @@
     const holder = new Holder(this, service, taken.swapped ? taken.modRevision : 0, [...tasks, ...former?.waiting ?? []])
     for (const run of former?.running ?? []) {
       holder.running.add(run)
-      holder.ledger.noteRun(run)
+      holder.ledger.addRun(run)
       setTimeout(() => holder.end(run), holder.runMs)
     }
     this.holders.set(service, holder)
@@ -228,7 +228,7 @@
     const amounts = (cpuMillis: number): Resources => ({ cpuMillis, memoryMb: 0, gpus: 0 })
     const claimOf = (service: string, granted: number): QuotaClaim =>
       ({ service, granted: amounts(granted), wanted: amounts(100_000), first: amounts(0), lackingSinceMs: 1 })
-    const value = encodeQuota({ account: PRESS, claims: [claimOf('a', 750), claimOf('b', 1000)] })
+    const value = encodeQuotaRecord({ account: PRESS, claims: [claimOf('a', 750), claimOf('b', 1000)] })
     await fleet.store.transact({ conditions: [], puts: [{ key: quotaKey(PRESS), value }], removals: [] })
     const holders = await Promise.all(['a', 'b'].map((service) => fleet.takeOver(service, fleet.tasks(200, 500))))
     await fleet.until('both start tasks', () => holders.every(({ startedMs }) => startedMs !== undefined), START_BOUND_MS)
--- a/packages/scheduler/src/test/ShortageLog.test.ts
+++ b/packages/scheduler/src/test/ShortageLog.test.ts
@@ -32,7 +32,7 @@
     it(`logs ${expected.length} lines of ${name}`, () => {
       const log = new TestLog()
       const shortages = new ShortageLog(log)
-      for (const moment of moments) shortages.note([countOf(moment)], moment.atMs)
+      for (const moment of moments) shortages.logChanges([countOf(moment)], moment.atMs)
       const lines = log.lines.map((line) => {
         const [message = '', fields = ''] = line.split(' {')
         const { need, have, usable } = JSON.parse(`{${fields}`) as Moment
--- a/packages/scheduler/src/test/TestService.ts
+++ b/packages/scheduler/src/test/TestService.ts
@@ -18,7 +18,7 @@
 import { RecordReader } from '../lib/records/RecordReader.js'
 import { SchedulerMetrics } from '../lib/duties/SchedulerMetrics.js'
 import { ServiceScheduler } from '../lib/duties/ServiceScheduler.js'
-import { encodeGoneReport } from '../lib/machines/goneReport.js'
+import { encodeMachineLossReport } from '../lib/machines/machineLossReport.js'
 import { goneKey, leaseTimerPrefix, serviceDutyKey } from '../lib/records/storeKeys.js'
 
 /** The service under test. */
@@ -207,7 +207,7 @@
    * @param listedWallMs - when the list was asked for
    */
   reportGone ({ instanceId, machineId }: Pick<WorkerInstance, 'instanceId' | 'machineId'>, listedWallMs = Date.now()): void {
-    this.write(goneKey(SERVICE, workerIdOf(instanceId)), encodeGoneReport({ machineId, listedWallMs }))
+    this.write(goneKey(SERVICE, workerIdOf(instanceId)), encodeMachineLossReport({ machineId, listedWallMs }))
   }
 
   /** Takes the duty, whoever had it. @returns the new tenure */
--- a/packages/scheduler/src/test/decoders.test.ts
+++ b/packages/scheduler/src/test/decoders.test.ts
@@ -3,7 +3,7 @@
 import { decodeJson, type Result } from '@quillscale/utils'
 import { allTasks, createJob, jobSpecSchema } from '@quillscale/policy'
 import { decodeProgress, restoreProgress } from '../lib/jobs/jobProgress.js'
-import { decodeMachineRecord, encodeMachineRecord } from '../lib/machines/machineRecord.js'
+import { decodeMachineDutyRecord, encodeMachineDutyRecord } from '../lib/machines/machineDutyRecord.js'
 import { decodeDemand, encodeDemand } from '../lib/records/serviceDemand.js'
 import { testJobId } from './TestService.js'
 
@@ -11,7 +11,7 @@
 const MACHINE_RECORD = {
   tasks: [{ machineId: 'm', kind: 'move' as const, wave: 0, from: 'a', to: 'b', state: 'vacating' as const, request: 'move 1.1' }],
   waves: [{ wave: 1, startedWallMs: 5, settled: ['m'], isDone: false }],
-  pauses: [{ machineId: 'm', leftMs: 5 }],
+  cooldowns: [{ machineId: 'm', remainingMs: 5 }],
   allPausedMs: 0
 }
 const PROGRESS = { status: 'running', tasks: [{ key: `${JOB.jobId}.0.0.0`, lastRunNumber: 1, runs: [{ runNumber: 1, instanceId: 'w' }] }] }
@@ -21,7 +21,7 @@
   { name: 'a job', good: JSON.stringify(JOB), decode: (text) => decodeJson(jobSpecSchema, text) },
   { name: 'progress', good: JSON.stringify(PROGRESS), decode: decodeProgress },
   { name: 'need', good: encodeDemand(DEMAND), decode: (text) => decodeDemand('s', text) },
-  { name: 'what is under way with machines', good: encodeMachineRecord(MACHINE_RECORD), decode: decodeMachineRecord }
+  { name: 'what is under way with machines', good: encodeMachineDutyRecord(MACHINE_RECORD), decode: decodeMachineDutyRecord }
 ]
 
 describe('decoders of records', () => {
--- a/packages/scheduler/src/test/fleetRestarts.test.ts
+++ b/packages/scheduler/src/test/fleetRestarts.test.ts
@@ -3,7 +3,7 @@
 import type { WaveRequest } from '@quillscale/ports'
 import { MachineDuty } from '../lib/machines/MachineDuty.js'
 import { MACHINE_DUTY_KEY } from '../lib/records/storeKeys.js'
-import { PARKED, StandInMachines } from './StandInMachines.js'
+import { PARKED_POOL, FakeMachineControl } from './FakeMachineControl.js'
 import { SERVICE, TestService, type Tenure } from './TestService.js'
 
 /** Leases of 4.8 s: a task that waits for one shows. */
@@ -19,7 +19,7 @@
 /** A service and its machines, whose holders all lose power at one step: a write, an order to a worker, or an order for a machine. */
 class RestartedFleet {
   readonly service = new TestService(3)
-  readonly machines = new StandInMachines(this.service, 3, 1)
+  readonly machines = new FakeMachineControl(this.service, 3, 1)
   steps = 0
   #powerLosses = 0
   #isOff = false
@@ -85,7 +85,7 @@
       log: service.log,
       records: service.records,
       waves: () => [WAVE],
-      headroomPools: () => [PARKED],
+      headroomPools: () => [PARKED_POOL],
       services: () => [SERVICE],
       waveStatus: (wave, isDone) => ({ key: `status/${wave}`, value: String(isDone) }),
       ordersPerS: () => 64,
