--- a/packages/scheduler/src/lib/duties/ServiceScheduler.ts
+++ b/packages/scheduler/src/lib/duties/ServiceScheduler.ts
@@ -16,12 +16,12 @@
 import type { FencedBatchWriter, RecordEncoder } from '../records/FencedBatchWriter.js'
 import { createReplica } from '../records/createReplica.js'
 import type { EventLog } from './EventLog.js'
-import { CrashBook } from '../jobs/CrashBook.js'
+import { CrashTracker } from '../jobs/CrashTracker.js'
 import { InboxReader } from '../jobs/InboxReader.js'
 import { encodeProgress } from '../jobs/jobProgress.js'
 import { MachineDrainer } from '../machines/MachineDrainer.js'
 import { openFencedBatchWriter } from '../records/openFencedBatchWriter.js'
-import { RunBook } from '../jobs/RunBook.js'
+import { JobRegistry } from '../jobs/JobRegistry.js'
 import { RunStarter } from '../jobs/RunStarter.js'
 import { RunTracker } from '../jobs/RunTracker.js'
 import type { ServiceSchedulerOptions } from './ServiceSchedulerOptions.js'
@@ -45,7 +45,7 @@
 /** The scheduler. @public */
 export class ServiceScheduler {
   readonly #options: ServiceSchedulerOptions
-  readonly #book: RunBook
+  readonly #book: JobRegistry
   readonly #log: EventLog
   readonly #times = new RunTimeEstimator()
   readonly #advice: AdviceBook
@@ -54,7 +54,7 @@
   readonly #ledger: QuotaLedger
   readonly #workers: WorkerSet
   readonly #tracker: RunTracker
-  readonly #crashBook: CrashBook
+  readonly #crashBook: CrashTracker
   readonly #starter: RunStarter
   readonly #statusWriter: StatusWriter
   readonly #registrations: WorkerRegistrations
@@ -77,26 +77,26 @@
     // Many waits end with the scheduler.
     setMaxListeners(0, this.#stop.signal)
     const { clock, store, service, configuration } = options
-    this.#book = new RunBook({
+    this.#book = new JobRegistry({
       clock,
       log: options.log,
       times: this.#times,
-      attemptsOf: (job) => configuration()?.queues.find(({ name }) => name === job.spec.queue)?.attempts ?? DEFAULT_ATTEMPTS,
+      maxAttemptsOf: (job) => configuration()?.queues.find(({ name }) => name === job.spec.queue)?.attempts ?? DEFAULT_ATTEMPTS,
       linkOf: (run) => this.#workers.linkOf(run),
       onChanged: (job) => this.#changed(job),
-      onClosed: (run) => this.#ledger.removeRun(run),
-      onUnneeded: (run) => this.#tracker.discard(run)
+      onRunClosed: (run) => this.#ledger.removeRun(run),
+      onUnneeded: (run) => this.#tracker.stopRun(run)
     })
     this.#ledger = this.#createLedger()
     this.#tracker = this.#createTracker()
     this.#starter = new RunStarter({
-      book: this.#book,
-      flushed: () => this.#commits.flushed(),
+      registry: this.#book,
+      whenFlushed: () => this.#commits.flushed(),
       linkOf: (run) => this.#workers.linkOf(run),
-      discard: (run) => this.#tracker.discard(run),
+      stopRun: (run) => this.#tracker.stopRun(run),
       onChanged: (job) => this.#changed(job, true)
     })
-    this.#crashBook = new CrashBook({
+    this.#crashBook = new CrashTracker({
       log: options.log, count: (kind) => options.metrics.count('workers_ended_under_tasks', kind), onChanged: (job) => this.#changed(job)
     })
     const put = (key: string, source: RecordEncoder, isUrgent: boolean): void => this.#commits.put(key, source, isUrgent)
@@ -104,7 +104,7 @@
     this.#workers = this.#createWorkers()
     this.#statusWriter = new StatusWriter({ service, clock, log: options.log, put, limitOf: (account) => accountsOf(configuration()).limitOf(account) })
     this.#advice = new AdviceBook({ advice: options.advice, clock, log: options.log, onAdvice: () => this.#wake() })
-    this.#vacator = new MachineDrainer({ service, clock, log: options.log, put, stop: (run) => { void this.#starter.takeAway(run) } })
+    this.#vacator = new MachineDrainer({ service, clock, log: options.log, put, stop: (run) => { void this.#starter.evict(run) } })
     this.#registrations = new WorkerRegistrations({
       ...options, prefix: options.workersPrefix, isServiceNamed: (name) => configuration()?.services.some((named) => named.name === name) === true
     })
@@ -113,10 +113,10 @@
     })
     this.#inboxReader = new InboxReader({
       ...options,
-      book: this.#book,
+      registry: this.#book,
       vacator: this.#vacator,
       weightOf: (account) => accountsOf(configuration()).weightOf(account),
-      onPlaced: (run) => this.#adopt(run),
+      onRunRestored: (run) => this.#adopt(run),
       onGone: (workerId, report) => this.#workers.noteGone(workerId, report)
     })
     this.#inbox = createReplica(options.log, {
@@ -142,11 +142,11 @@
       fencingToken,
       clock,
       log,
-      book: this.#book,
+      registry: this.#book,
       linkOf: (run) => this.#workers.linkOf(run),
       isSetAside: (jobId) => this.#inboxReader.isSetAside(jobId),
       onChanged: (job) => this.#changed(job),
-      onNoTicket: (run) => this.#advice.forget(run.task),
+      onTicketRefused: (run) => this.#advice.forget(run.task),
       count: (name, label = service) => metrics.count(name, label)
     })
   }
@@ -171,12 +171,12 @@
       fencingToken,
       mayOrder,
       onReport: (link, report, askedMs) => {
-        this.#tracker.read(link, report, askedMs)
+        this.#tracker.applyReport(link, report, askedMs)
         this.#wake()
       },
       onStarted: (run) => this.#tracker.started(run),
       onNotStarted: (link, run, error) => {
-        this.#tracker.notStarted(link, run, error)
+        this.#tracker.handleStartFailure(link, run, error)
         this.#wake()
       },
       ensureDurable: () => this.#commits.flushed(),
@@ -189,10 +189,10 @@
       linkOptions,
       silentWorkers: this.#silentWorkers,
       isVacating: (machineId) => this.#vacator.isVacating(machineId),
-      onWorkerLost: (loss) => this.#crashBook.note(loss, clock.monotonicMs()),
+      onWorkerLost: (loss) => this.#crashBook.recordLoss(loss, clock.monotonicMs()),
       onLost: (run, evidence) => {
         this.#options.metrics.record('lost_run_silence', evidence.reason, evidence.silentMs)
-        this.#book.close(run, 'lost', { evidence })
+        this.#book.closeRun(run, 'lost', { evidence })
       },
       onGoneForgotten: (workerId) => this.#commits.put(goneKey(service, workerId), () => undefined),
       onMoved: (run) => this.#changed(run.task.job, true),
@@ -259,7 +259,7 @@
       retryUntilAnswered(async () => (await store.get(silentWorkersKey(service))).map((item) => ({ item })), this.#stop.signal)
     ])
     if (commits === undefined || progress === undefined || silent === undefined) return false
-    this.#inboxReader.remember(progress.items)
+    this.#inboxReader.loadProgress(progress.items)
     this.#commits = commits
     this.#silentWorkers.restore(silent.item, commits.previousDutyRevision)
     return true
@@ -273,7 +273,7 @@
   }
 
   #readInbox (change: PrefixChange): void {
-    this.#inboxReader.read(change)
+    this.#inboxReader.applyChange(change)
     if (!this.#hasHeardOfAll) {
       this.#hasHeardOfAll = true
       this.#followWorkers()
@@ -346,11 +346,11 @@
     for (const run of runs) this.#adopt(run)
     this.#ledger.reconcile(round.quota.shortages, nowMs)
     this.#ledger.warnOversized(round.quota.oversized)
-    for (const run of round.runsToStop) this.#tracker.discard(run)
+    for (const run of round.runsToStop) this.#tracker.stopRun(run)
     for (const task of round.tasksToGiveUp) {
       if (hasEnded(task.job)) continue
-      this.#book.giveUp(task)
-      this.#crashBook.clearOthers(task.job)
+      this.#book.giveUpTask(task)
+      this.#crashBook.clearOtherJobs(task.job)
     }
     if (runs.length === 0) return
     for (const job of new Set(runs.map(({ task }) => task.job))) {
--- a/packages/scheduler/src/lib/jobs/FleetReport.ts
+++ b/packages/scheduler/src/lib/jobs/FleetReport.ts
@@ -30,7 +30,7 @@
   readonly lines: readonly string[]
 }
 
-const MILLIS_A_CORE = 1000
+const MILLIS_PER_CORE = 1000
 
 /** Reads reports. @public */
 export class FleetReport {
@@ -56,7 +56,7 @@
       // Nobody reads it, the holder of machines neither: it counts as not told.
       if (demand.err) return []
       const { service, runsByMachine, wantedMillis } = demand.val
-      return { service, machines: runsByMachine.size, machinesNeeded: machinesNeeded(demand.val), wantedCores: wantedMillis / MILLIS_A_CORE }
+      return { service, machines: runsByMachine.size, machinesNeeded: machinesNeeded(demand.val), wantedCores: wantedMillis / MILLIS_PER_CORE }
     }))
   }
 
@@ -79,24 +79,24 @@
       if (cancel.err) return cancel
       if (duties.err) return duties
       const spec = decodeJson(jobSpecSchema, record.val.value)
-      if (spec.err) return unreadable(record.val.key, spec.val)
+      if (spec.err) return unreadableRecord(record.val.key, spec.val)
       const known = progress.val === undefined ? Ok(undefined) : decodeProgress(progress.val.value)
-      if (known.err) return unreadable(progressKey(row.service, jobId), known.val)
-      const quota = await this.#quotaOf(spec.val)
+      if (known.err) return unreadableRecord(progressKey(row.service, jobId), known.val)
+      const quota = await this.#readQuota(spec.val)
       if (quota.err) return quota
       return Ok(explainJob(spec.val, row, { progress: known.val, isCancelled: cancel.val !== undefined, duties: duties.val, quota: quota.val }, wallMs))
     }
     return Ok(undefined)
   }
 
-  async #quotaOf ({ owner }: JobSpec): Promise<Result<QuotaRecord | undefined, PlatformError>> {
+  async #readQuota ({ owner }: JobSpec): Promise<Result<QuotaRecord | undefined, PlatformError>> {
     if (owner === undefined) return Ok(undefined)
     const key = quotaKey(owner.account)
     const record = await this.#store.get(key)
     if (record.err) return record
     if (record.val === undefined) return Ok(undefined)
     const decoded = decodeQuotaRecord(record.val.value)
-    return decoded.err ? unreadable(key, decoded.val) : decoded
+    return decoded.err ? unreadableRecord(key, decoded.val) : decoded
   }
 }
 
@@ -108,14 +108,14 @@
   readonly quota: QuotaRecord | undefined
 }
 
-function unreadable (key: string, { path, detail }: DecodeProblem): Result<never, PlatformError> {
+function unreadableRecord (key: string, { path, detail }: DecodeProblem): Result<never, PlatformError> {
   return Err({ kind: 'unavailable', detail: `${key} cannot be read: ${path === '' ? '' : `${path}: `}${detail}` })
 }
 
 function explainJob (spec: JobSpec, row: ServiceRow, { progress, isCancelled, duties, quota }: JobRecords, wallMs: number): JobExplanation {
   const status = progress?.status ?? 'queued'
   const isOver = hasEnded({ status })
-  const reasons = isOver ? [] : [...reasonsToWait(row, isCancelled, duties), ...quotaReasons(row.service, quota)]
+  const reasons = isOver ? [] : [...waitReasons(row, isCancelled, duties), ...quotaReasons(row.service, quota)]
   const steps = isOver ? failureLines(progress?.failure) : spec.steps.map((_, index) => explainStep(spec, index, progress))
   const { jobId, queue, owner, submittedMs } = spec
   return { jobId, service: row.service, queue, account: owner?.account, status, ageMs: wallMs - submittedMs, lines: [...steps, ...reasons] }
@@ -129,13 +129,13 @@
   const open = (step?.dependsOn ?? []).filter((earlier) => !isStepDone(spec, earlier, progress))
   const where = [...new Set(placed.map(({ instanceId }) => instanceId))]
   return [
-    `step ${index}: ${doneOf(tasks)} of ${step?.taskCount ?? 0} done, ${placed.length} placed`, where.length === 0 ? '' : `on ${where.join(' ')}`,
+    `step ${index}: ${countDone(tasks)} of ${step?.taskCount ?? 0} done, ${placed.length} placed`, where.length === 0 ? '' : `on ${where.join(' ')}`,
     failures === 0 ? '' : `${failures} runs failed`, open.length === 0 ? '' : `waits for step ${open.join(' and ')}`
   ].filter((part) => part !== '').join(', ')
 }
 
 function isStepDone (spec: JobSpec, index: number, progress: JobProgress | undefined): boolean {
-  return doneOf(tasksOfStep(index, progress)) >= (spec.steps[index]?.taskCount ?? 0)
+  return countDone(tasksOfStep(index, progress)) >= (spec.steps[index]?.taskCount ?? 0)
 }
 
 /** Those that were placed at least once. */
@@ -143,31 +143,31 @@
   return (progress?.tasks ?? []).filter(({ key }) => Number(key.split('.')[2]) === index)
 }
 
-const doneOf = (tasks: JobProgress['tasks']): number => tasks.filter(({ isDone }) => isDone).length
+const countDone = (tasks: JobProgress['tasks']): number => tasks.filter(({ isDone }) => isDone).length
 
-const isHeld = (dutyKey: string, duties: readonly DutyRow[]): boolean => duties.some(({ duty }) => `${DUTY_PREFIX}${duty}` === dutyKey)
+const isDutyHeld = (dutyKey: string, duties: readonly DutyRow[]): boolean => duties.some(({ duty }) => `${DUTY_PREFIX}${duty}` === dutyKey)
 
 function failureLines (failure: JobFailure | undefined): string[] {
-  return failure === undefined ? [] : [`${FAILURES[failure.reason]}: ${failure.taskKey}`]
+  return failure === undefined ? [] : [`${FAILURE_TEXTS[failure.reason]}: ${failure.taskKey}`]
 }
 
-const FAILURES: Readonly<Record<JobFailure['reason'], string>> = {
+const FAILURE_TEXTS: Readonly<Record<JobFailure['reason'], string>> = {
   attempts: 'a task of it failed as often as its queue allows', crashes: 'a task of it ended the workers that started it'
 }
 
 function quotaReasons (service: string, quota: QuotaRecord | undefined): string[] {
   const claim = quota?.claims.find((each) => each.service === service)
   if (quota === undefined || claim === undefined || !isLacking(claim)) return []
-  const [has, wants, all] = [claim.granted, claim.wanted, sumGranted(quota.claims)].map(amountsOf)
+  const [has, wants, all] = [claim.granted, claim.wanted, sumGranted(quota.claims)].map(formatResources)
   return [`account ${quota.account} has ${has} for ${service} and wants ${wants}; all its services have ${all}`]
 }
 
-const amountsOf = ({ cpuMillis, memoryMb, gpus }: Resources): string => `${cpuMillis} mcpu, ${memoryMb} MB${gpus === 0 ? '' : `, ${gpus} GPUs`}`
+const formatResources = ({ cpuMillis, memoryMb, gpus }: Resources): string => `${cpuMillis} mcpu, ${memoryMb} MB${gpus === 0 ? '' : `, ${gpus} GPUs`}`
 
-function reasonsToWait (row: ServiceRow, isCancelled: boolean, duties: readonly DutyRow[]): string[] {
-  const isScheduled = isHeld(serviceDutyKey(row.service), duties)
+function waitReasons (row: ServiceRow, isCancelled: boolean, duties: readonly DutyRow[]): string[] {
+  const isScheduled = isDutyHeld(serviceDutyKey(row.service), duties)
   const isShort = row.machinesNeeded > row.machines
-  const areMachinesHeld = isHeld(MACHINE_DUTY_KEY, duties)
+  const areMachinesHeld = isDutyHeld(MACHINE_DUTY_KEY, duties)
   return [
     isCancelled ? 'it is being cancelled' : '',
     isScheduled ? '' : `nobody schedules ${row.service}: its duty is vacant`,
--- a/packages/scheduler/src/lib/jobs/InboxReader.ts
+++ b/packages/scheduler/src/lib/jobs/InboxReader.ts
@@ -13,7 +13,7 @@
 import type { RecordReader } from '../records/RecordReader.js'
 import { CANCEL_VALUE, inboxPrefix, parseInboxKey, progressPrefix } from '../records/storeKeys.js'
 import { decodeProgress, restoreProgress } from './jobProgress.js'
-import type { RunBook } from './RunBook.js'
+import type { JobRegistry } from './JobRegistry.js'
 
 /** What the reader works with. @public */
 export interface InboxReaderOptions {
@@ -21,12 +21,12 @@
   readonly clock: Clock
   readonly log: EventLog
   readonly records: RecordReader
-  readonly book: RunBook
+  readonly registry: JobRegistry
   readonly vacator: Pick<MachineDrainer, 'request' | 'withdraw'>
   /** Jobs a second that are an account's share, `undefined` where that is not known. */
   readonly weightOf: (account: AccountName) => number | undefined
   /** Called for each run that an earlier holder placed. */
-  readonly onPlaced: (run: Run) => void
+  readonly onRunRestored: (run: Run) => void
   /** Called when a worker's machine is down or gone. */
   readonly onGone: (workerId: WorkerId, report: MachineLossReport) => void
 }
@@ -35,7 +35,7 @@
 export class InboxReader {
   readonly #options: InboxReaderOptions
   /** Progress as recorded by earlier holders, until its job is seen in the inbox. */
-  readonly #recorded = new Map<JobId, KeyValue>()
+  readonly #recordedProgress = new Map<JobId, KeyValue>()
   /** Jobs whose progress cannot be read. */
   readonly #setAside = new Map<JobId, JobSpec>()
   readonly #shares = new AccountTokenBuckets()
@@ -46,9 +46,9 @@
   }
 
   /** @param items - progress of the service's jobs, as earlier holders recorded it */
-  remember (items: readonly KeyValue[]): void {
+  loadProgress (items: readonly KeyValue[]): void {
     const prefix = progressPrefix(this.#options.service)
-    for (const item of items) this.#recorded.set(item.key.slice(prefix.length) as JobId, item)
+    for (const item of items) this.#recordedProgress.set(item.key.slice(prefix.length) as JobId, item)
   }
 
   /**
@@ -62,19 +62,19 @@
   }
 
   /** @param change - of the inbox */
-  read ({ changed, removed }: PrefixChange): void {
+  applyChange ({ changed, removed }: PrefixChange): void {
     const { service, vacator } = this.#options
     const prefix = inboxPrefix(service)
     for (const item of changed) {
       const subject = parseInboxKey(item.key, prefix)
       if (subject.kind === 'vacate') vacator.request(subject.machineId, item.value)
     }
-    for (const arrival of this.#arrivalsOf(changed)) this.#addJob(arrival)
+    for (const arrival of this.#newJobs(changed)) this.#addJob(arrival)
     // These last: a list may bring them before the jobs that they are about.
     for (const item of changed) {
       const subject = parseInboxKey(item.key, prefix)
-      if (subject.kind === 'cancel' && item.value === CANCEL_VALUE) this.#cancel(subject.jobId)
-      else if (subject.kind === 'gone') this.#readGone(subject.workerId, item)
+      if (subject.kind === 'cancel' && item.value === CANCEL_VALUE) this.#cancelJob(subject.jobId)
+      else if (subject.kind === 'gone') this.#readMachineDown(subject.workerId, item)
     }
     for (const key of removed) {
       const subject = parseInboxKey(key, prefix)
@@ -82,14 +82,14 @@
     }
   }
 
-  #readGone (workerId: WorkerId, item: KeyValue): void {
+  #readMachineDown (workerId: WorkerId, item: KeyValue): void {
     const report = this.#options.records.read(item, decodeMachineLossReport)
     if (report !== undefined) this.#options.onGone(workerId, report)
   }
 
   /** New jobs in the order in which they were accepted; a list of the inbox has them by id. */
-  #arrivalsOf (changed: readonly KeyValue[]): JobSpec[] {
-    const { service, book, records } = this.#options
+  #newJobs (changed: readonly KeyValue[]): JobSpec[] {
+    const { service, registry: book, records } = this.#options
     const specs = changed.flatMap((item) => {
       const subject = parseInboxKey(item.key, inboxPrefix(service))
       if (subject.kind !== 'job' || book.jobs.has(subject.jobId) || this.#setAside.has(subject.jobId)) return []
@@ -106,10 +106,10 @@
   }
 
   #addJob (spec: JobSpec): void {
-    const { book, clock, log, records, onPlaced } = this.#options
+    const { registry: book, clock, log, records, onRunRestored: onPlaced } = this.#options
     const { jobId } = spec
-    const recorded = this.#recorded.get(jobId)
-    this.#recorded.delete(jobId)
+    const recorded = this.#recordedProgress.get(jobId)
+    this.#recordedProgress.delete(jobId)
     const progress = recorded === undefined ? undefined : records.read(recorded, decodeProgress)
     if (recorded !== undefined && progress === undefined) {
       this.#setAside.set(jobId, spec)
@@ -124,8 +124,8 @@
     for (const run of restoreProgress(job, progress, clock.monotonicMs())) onPlaced(run)
   }
 
-  #cancel (jobId: JobId): void {
-    const { book } = this.#options
+  #cancelJob (jobId: JobId): void {
+    const { registry: book } = this.#options
     const setAside = this.#setAside.get(jobId)
     if (setAside !== undefined) {
       // Its runs are stopped as those that nobody recorded.
@@ -133,6 +133,6 @@
       book.jobs.set(jobId, createJob(setAside))
     }
     const job = book.jobs.get(jobId)
-    if (job !== undefined && !hasEnded(job)) book.end(job, 'cancelled')
+    if (job !== undefined && !hasEnded(job)) book.endJob(job, 'cancelled')
   }
 }
--- a/packages/scheduler/src/lib/jobs/JobDesk.ts
+++ b/packages/scheduler/src/lib/jobs/JobApi.ts
@@ -16,7 +16,7 @@
 import { CANCEL_VALUE, cancelKey, inboxPrefix, jobKey, parseInboxKey, progressKey, progressPrefix, waitingKey } from '../records/storeKeys.js'
 
 /** What the desk works with. @public */
-export interface JobDeskOptions {
+export interface JobApiOptions {
   readonly store: MonitoredStore
   readonly clock: Clock
   readonly log: EventLog
@@ -35,26 +35,26 @@
 /** Kept short of the deadline, so that the answer still arrives. */
 const DEADLINE_MARGIN_MS = 150
 /** While the store says that it did nothing, a request is tried for so long: overload passes or it does not. */
-const REFUSED_TRIES_MS = 400
-const RETRY_FIRST_MS = 40
+const REFUSED_RETRY_LIMIT_MS = 400
+const FIRST_RETRY_DELAY_MS = 40
 /** So many lost answers, and another host may do better. */
-const MOST_LOST = 2
-const RETRY_MAX_MS = 250
+const MAX_LOST_ANSWERS = 2
+const MAX_RETRY_DELAY_MS = 250
 /** A count of waiting jobs that is older is made anew from the records: its scheduler is being replaced. */
-const COUNT_FRESH_MS = 2500
+const MAX_COUNT_AGE_MS = 2500
 
-const NOT_ASKED: PlatformError = { kind: 'unavailable', detail: 'the store has not answered for a while and was not asked' }
+const STORE_SILENT: PlatformError = { kind: 'unavailable', detail: 'the store has not answered for a while and was not asked' }
 
-const UNREADABLE: PlatformError = { kind: 'unavailable', detail: 'what the store has of the job cannot be read' }
+const RECORD_UNREADABLE: PlatformError = { kind: 'unavailable', detail: 'what the store has of the job cannot be read' }
 
 const waitingSchema = z.object({ atMs: z.number(), counts: z.record(z.string(), z.number()) })
 
 /** The desk. @public */
-export class JobDesk {
-  readonly #options: JobDeskOptions
+export class JobApi {
+  readonly #options: JobApiOptions
 
   /** @param options - what it works with */
-  constructor (options: JobDeskOptions) {
+  constructor (options: JobApiOptions) {
     this.#options = options
   }
 
@@ -68,26 +68,26 @@
    */
   async submit (spec: JobSpec, service: string, deadlineMs: number): Promise<SubmitOutcome> {
     const { log } = this.#options
-    const written = await this.#write(spec, service, deadlineMs)
-    const outcome = this.#outcomeOf(spec, service, written)
+    const written = await this.#writeJob(spec, service, deadlineMs)
+    const outcome = this.#submitOutcome(spec, service, written)
     const fields = { jobId: spec.jobId, queue: spec.queue, service, account: spec.owner?.account, outcome, tries: written.tries }
     if (outcome === 'taken') log.warn(fields, 'job refused: its id is another account\'s')
     else if (written.result.err) log.warn({ ...fields, error: written.result.val }, 'job not taken in')
-    else log.info({ ...fields, isRepeat: !written.result.val.committed, steps: spec.steps.map(shapeOf) }, 'job taken in')
+    else log.info({ ...fields, isRepeat: !written.result.val.committed, steps: spec.steps.map(describeStep) }, 'job taken in')
     return outcome
   }
 
-  #outcomeOf ({ jobId, owner }: JobSpec, service: string, { result, mayHaveEffect }: Tried<TransactionOutcome>): SubmitOutcome {
+  #submitOutcome ({ jobId, owner }: JobSpec, service: string, { result, mayHaveEffect }: RetryResult<TransactionOutcome>): SubmitOutcome {
     if (result.err) return mayHaveEffect ? 'unknown' : 'refused'
     const found = result.val.committed ? undefined : result.val.current.find(({ key }) => key === jobKey(service, jobId))
     const known = found === undefined ? undefined : this.#readJob(found)
-    return known === undefined || isOwnedBy(ownerOf(known), owner) ? 'accepted' : 'taken'
+    return known === undefined || isOwnedBy(restrictedOwner(known), owner) ? 'accepted' : 'taken'
   }
 
-  async #write (spec: JobSpec, service: string, deadlineMs: number): Promise<Tried<TransactionOutcome>> {
+  async #writeJob (spec: JobSpec, service: string, deadlineMs: number): Promise<RetryResult<TransactionOutcome>> {
     const { store } = this.#options
     const key = jobKey(service, spec.jobId)
-    const put = (modRevision: number): Promise<Tried<TransactionOutcome>> => this.#retry(deadlineMs, () =>
+    const put = (modRevision: number): Promise<RetryResult<TransactionOutcome>> => this.#retry(deadlineMs, () =>
       store.transact({ conditions: [{ key, modRevision }], puts: [{ key, value: JSON.stringify(spec) }], removals: [] }))
     const written = await put(0)
     if (written.result.err || written.result.val.committed) return written
@@ -96,7 +96,7 @@
     const replaced = await put(found.modRevision)
     if (replaced.result.err || replaced.result.val.committed) return replaced
     const isThere = replaced.result.val.current.some((item) => item.key === key && this.#readJob(item) !== undefined)
-    return isThere ? replaced : { ...replaced, result: Err(UNREADABLE), mayHaveEffect: true }
+    return isThere ? replaced : { ...replaced, result: Err(RECORD_UNREADABLE), mayHaveEffect: true }
   }
 
   #readJob (item: KeyValue): JobSpec | undefined {
@@ -123,26 +123,26 @@
   async #statusIn (jobId: JobId, service: string, deadlineMs: number, caller: JobOwner | undefined): Promise<StatusOutcome> {
     const { store, records } = this.#options
     const recorded = await this.#retry(deadlineMs, () => store.get(progressKey(service, jobId)))
-    if (recorded.result.err) return this.#unavailable(jobId, recorded.result.val)
+    if (recorded.result.err) return this.#reportUnavailable(jobId, recorded.result.val)
     if (recorded.result.val !== undefined) {
       const progress = records.read(recorded.result.val, decodeProgress)
-      if (progress === undefined) return this.#unavailable(jobId, UNREADABLE)
-      return isOwnedBy(progress.owner, caller) ? progress.status : this.#notOwned(jobId, caller)
+      if (progress === undefined) return this.#reportUnavailable(jobId, RECORD_UNREADABLE)
+      return isOwnedBy(progress.owner, caller) ? progress.status : this.#reportNotOwned(jobId, caller)
     }
     const job = await this.#retry(deadlineMs, () => store.get(jobKey(service, jobId)))
-    if (job.result.err) return this.#unavailable(jobId, job.result.val)
+    if (job.result.err) return this.#reportUnavailable(jobId, job.result.val)
     if (job.result.val === undefined) return 'no-such-job'
     const spec = this.#readJob(job.result.val)
-    if (spec === undefined) return this.#unavailable(jobId, UNREADABLE)
-    return isOwnedBy(ownerOf(spec), caller) ? 'queued' : this.#notOwned(jobId, caller)
+    if (spec === undefined) return this.#reportUnavailable(jobId, RECORD_UNREADABLE)
+    return isOwnedBy(restrictedOwner(spec), caller) ? 'queued' : this.#reportNotOwned(jobId, caller)
   }
 
-  #notOwned (jobId: JobId, caller: JobOwner | undefined): 'no-such-job' {
+  #reportNotOwned (jobId: JobId, caller: JobOwner | undefined): 'no-such-job' {
     this.#options.log.info({ jobId, account: caller?.account }, 'the job is another account\'s: none for this one')
     return 'no-such-job'
   }
 
-  #unavailable (jobId: JobId, error: PlatformError): 'unavailable' {
+  #reportUnavailable (jobId: JobId, error: PlatformError): 'unavailable' {
     this.#options.log.warn({ jobId, error }, 'state not read')
     return 'unavailable'
   }
@@ -158,14 +158,14 @@
     const { store, log } = this.#options
     for (const service of services) {
       const job = await this.#retry(deadlineMs, () => store.get(jobKey(service, jobId)))
-      if (job.result.err) return this.#unavailable(jobId, job.result.val)
+      if (job.result.err) return this.#reportUnavailable(jobId, job.result.val)
       if (job.result.val === undefined) continue
       const spec = this.#readJob(job.result.val)
       // One that cannot be read may be anybody's, and has to be stopped by somebody.
-      if (spec !== undefined && !isOwnedBy(ownerOf(spec), caller)) return this.#notOwned(jobId, caller)
+      if (spec !== undefined && !isOwnedBy(restrictedOwner(spec), caller)) return this.#reportNotOwned(jobId, caller)
       const put = { conditions: [], puts: [{ key: cancelKey(service, jobId), value: CANCEL_VALUE }], removals: [] }
       const written = await this.#retry(deadlineMs, () => store.transact(put))
-      if (written.result.err) return this.#unavailable(jobId, written.result.val)
+      if (written.result.err) return this.#reportUnavailable(jobId, written.result.val)
       log.info({ jobId, service }, 'cancel taken in')
       return 'accepted'
     }
@@ -174,7 +174,7 @@
   }
 
   /** @param queue - by name @param service - its service @param deadlineMs - monotonic @returns how many of its jobs have not begun */
-  async waiting (queue: string, service: string, deadlineMs: number): Promise<WaitingOutcome> {
+  async countWaiting (queue: string, service: string, deadlineMs: number): Promise<WaitingOutcome> {
     const { store, clock, log, records } = this.#options
     const read = await this.#retry(deadlineMs, () => store.get(waitingKey(service)))
     if (read.result.err) {
@@ -182,11 +182,11 @@
       return 'unavailable'
     }
     const counts = read.result.val === undefined ? undefined : records.read(read.result.val, (text) => decodeJson(waitingSchema, text))
-    if (counts !== undefined && Math.abs(clock.wallMs() - counts.atMs) < COUNT_FRESH_MS) return counts.counts[queue] ?? 0
-    return this.#countWaiting(queue, service, deadlineMs)
+    if (counts !== undefined && Math.abs(clock.wallMs() - counts.atMs) < MAX_COUNT_AGE_MS) return counts.counts[queue] ?? 0
+    return this.#countFromRecords(queue, service, deadlineMs)
   }
 
-  async #countWaiting (queue: string, service: string, deadlineMs: number): Promise<WaitingOutcome> {
+  async #countFromRecords (queue: string, service: string, deadlineMs: number): Promise<WaitingOutcome> {
     const { store, log, records } = this.#options
     const [inbox, progress] = await Promise.all([
       this.#retry(deadlineMs, () => store.list(inboxPrefix(service))), this.#retry(deadlineMs, () => store.list(progressPrefix(service)))
@@ -210,32 +210,32 @@
    * Tries until an answer. A store that is silent is not asked: the client is told at once to come back, and finds another host.
    * What a lost answer leaves open is asked again once; then the client is told, for the same reason.
    */
-  async #retry<T> (deadlineMs: number, call: () => Promise<Result<T, PlatformError>>): Promise<Tried<T>> {
+  async #retry<T> (deadlineMs: number, call: () => Promise<Result<T, PlatformError>>): Promise<RetryResult<T>> {
     const { clock, store } = this.#options
     const beganMs = clock.monotonicMs()
-    if (store.isUnresponsive(beganMs)) return { result: Err(NOT_ASKED), mayHaveEffect: false, tries: 0 }
+    if (store.isUnresponsive(beganMs)) return { result: Err(STORE_SILENT), mayHaveEffect: false, tries: 0 }
     let lost = 0
-    let pauseMs = RETRY_FIRST_MS
+    let pauseMs = FIRST_RETRY_DELAY_MS
     for (let tries = 1; ; tries++) {
       const result = await call()
       const mayHaveEffect = lost > 0
       if (result.ok) return { result, mayHaveEffect, tries }
       if (result.val.kind === 'unknown-effect') lost++
       const nowMs = clock.monotonicMs()
-      const giveUpMs = lost > 0 ? deadlineMs - DEADLINE_MARGIN_MS : beganMs + REFUSED_TRIES_MS
-      const isHopeless = lost >= MOST_LOST || store.isUnresponsive(nowMs) || nowMs + pauseMs >= Math.min(giveUpMs, deadlineMs - DEADLINE_MARGIN_MS)
+      const giveUpMs = lost > 0 ? deadlineMs - DEADLINE_MARGIN_MS : beganMs + REFUSED_RETRY_LIMIT_MS
+      const isHopeless = lost >= MAX_LOST_ANSWERS || store.isUnresponsive(nowMs) || nowMs + pauseMs >= Math.min(giveUpMs, deadlineMs - DEADLINE_MARGIN_MS)
       if (isHopeless) return { result, mayHaveEffect: lost > 0, tries }
       await delay(pauseMs)
-      pauseMs = Math.min(RETRY_MAX_MS, pauseMs * 2)
+      pauseMs = Math.min(MAX_RETRY_DELAY_MS, pauseMs * 2)
     }
   }
 }
 
 /** Who alone may ask for a job; `undefined` if everybody may. */
-const ownerOf = ({ owner, isPublic }: JobSpec): JobOwner | undefined => isPublic ? undefined : owner
+const restrictedOwner = ({ owner, isPublic }: JobSpec): JobOwner | undefined => isPublic ? undefined : owner
 
 /** What an operator needs to know of a step to see why it waits. */
-function shapeOf (step: StepSpec): string {
+function describeStep (step: StepSpec): string {
   const traits = [
     step.isLasting ? 'lasting' : '', step.isFiller ? 'filler' : '', step.isGang ? 'gang' : '', step.isCheckpointing ? 'checkpointing' : '',
     step.allowsCopies ? 'copies' : '', step.requiredLabel === '' ? '' : `needs ${step.requiredLabel}`, step.preferredRack === '' ? '' : `near ${step.preferredRack}`,
@@ -245,4 +245,4 @@
   return [`${step.taskCount} x ${step.cpuMillis} mcpu ${step.memoryMb} MB ${step.estimateMs} ms`, ...traits].join(', ')
 }
 
-interface Tried<T> { readonly result: Result<T, PlatformError>, readonly mayHaveEffect: boolean, readonly tries: number }
+interface RetryResult<T> { readonly result: Result<T, PlatformError>, readonly mayHaveEffect: boolean, readonly tries: number }
--- a/packages/scheduler/src/lib/jobs/RunBook.ts
+++ b/packages/scheduler/src/lib/jobs/JobRegistry.ts
@@ -24,7 +24,7 @@
 }
 
 /** What is known of a run's end besides its outcome. @public */
-export interface EndDetails {
+export interface RunEndDetails {
   /** That the run left. */
   readonly checkpoint?: string
   /** Of one that is lost. */
@@ -32,43 +32,43 @@
 }
 
 /** What the book needs of its scheduler. @public */
-export interface RunBookOptions {
+export interface JobRegistryOptions {
   readonly clock: Clock
   readonly log: EventLog
   readonly times: RunTimeEstimator
   /** Failed runs after which a task of this job has failed. */
-  readonly attemptsOf: (job: Job) => number
+  readonly maxAttemptsOf: (job: Job) => number
   /** Where a run is. */
   readonly linkOf: (run: Run) => WorkerLink | undefined
   /** Called for each job whose progress is to be written. */
   readonly onChanged: (job: Job) => void
   /** Called for each run that is surely over. */
-  readonly onClosed: (run: Run) => void
+  readonly onRunClosed: (run: Run) => void
   /** Called for each run that is not needed any more. */
   readonly onUnneeded: (run: Run) => void
 }
 
 /** The book. @public */
-export class RunBook {
+export class JobRegistry {
   readonly jobs = new Map<JobId, Job>()
-  readonly #options: RunBookOptions
+  readonly #options: JobRegistryOptions
 
   /** @param options - its scheduler's part */
-  constructor (options: RunBookOptions) {
+  constructor (options: JobRegistryOptions) {
     this.#options = options
   }
 
   /** Takes note that a run is over. @param run - that was placed @param outcome - how @param details - what else is known */
-  close (run: Run, outcome: RunOutcome, { checkpoint = '', evidence }: EndDetails = {}): void {
+  closeRun (run: Run, outcome: RunOutcome, { checkpoint = '', evidence }: RunEndDetails = {}): void {
     const { task } = run
     const at = task.runs.indexOf(run)
     if (at < 0) return
     task.runs.splice(at, 1)
-    this.#options.onClosed(run)
+    this.#options.onRunClosed(run)
     this.#options.linkOf(run)?.runs.delete(runKey(run))
     if (checkpoint !== '' && stepOf(task).isCheckpointing) task.checkpoint = checkpoint
     const { job } = task
-    this.#noteHealth(run, outcome)
+    this.#updateWorkerHealth(run, outcome)
     if (job.status === 'queued' && outcome !== 'not-started' && outcome !== 'lost') job.status = 'running'
     if (!hasEnded(job)) this.#applyOutcome(run, outcome)
     this.#logEnd(run, outcome, evidence)
@@ -76,7 +76,7 @@
   }
 
   /** @param link - of the worker @param end - as listed @returns whether it was new */
-  noteEnd (link: WorkerLink, end: EndReport): boolean {
+  recordEndReport (link: WorkerLink, end: EndReport): boolean {
     if (end.sequence <= link.processedSequence) return false
     link.processedSequence = end.sequence
     const run = link.runs.get(runKey(end))
@@ -84,20 +84,20 @@
       this.#options.log.debug({ taskKey: end.taskKey, runNumber: end.runNumber, end: end.end, instanceId: link.instance.instanceId }, 'end of a run that is not ours')
       return true
     }
-    this.close(run, end.end, { checkpoint: end.checkpoint })
+    this.closeRun(run, end.end, { checkpoint: end.checkpoint })
     return true
   }
 
   /** Ends the job of a task that ends the workers which start it. @param task - of a job that has not ended */
-  giveUp (task: Task): void {
+  giveUpTask (task: Task): void {
     const { job, key, crashes, avoidedInstances: avoid } = task
     this.#options.log.warn({ jobId: job.spec.jobId, taskKey: key, points: crashes.points, starts: task.lastRunNumber, lastOn: [...avoid].at(-1) }, 'task given up: it ends the workers that start it')
     job.failure = { reason: 'crashes', taskKey: key }
-    this.end(job, 'failed')
+    this.endJob(job, 'failed')
   }
 
   /** Ends a job: what still runs is stopped. @param job - that has not ended @param status - its end */
-  end (job: Job, status: JobStatus): void {
+  endJob (job: Job, status: JobStatus): void {
     job.status = status
     job.endedMs = this.#options.clock.wallMs()
     this.#options.log.info({ jobId: job.spec.jobId, queue: job.spec.queue, status, tookMs: job.endedMs - job.spec.submittedMs }, 'job ended')
@@ -110,22 +110,22 @@
     const { job } = task
     const step = stepOf(task)
     if (outcome === 'done' && !step.isLasting) {
-      for (const member of step.isGang ? this.#gangOf(task) : [task]) this.#markDone(member)
-      if (isJobDone(job)) this.end(job, 'succeeded')
+      for (const member of step.isGang ? this.#gangMembers(task) : [task]) this.#markDone(member)
+      if (isJobDone(job)) this.endJob(job, 'succeeded')
       return
     }
     if (outcome === 'failed' && !step.isLasting) {
       task.failures++
-      const failures = step.isGang ? Math.max(...this.#gangOf(task).map((member) => member.failures)) : task.failures
-      if (failures >= this.#options.attemptsOf(job)) {
+      const failures = step.isGang ? Math.max(...this.#gangMembers(task).map((member) => member.failures)) : task.failures
+      if (failures >= this.#options.maxAttemptsOf(job)) {
         job.failure = { reason: 'attempts', taskKey: task.key }
-        return this.end(job, 'failed')
+        return this.endJob(job, 'failed')
       }
     }
     if (outcome === 'failed' || outcome === 'lost') task.avoidedInstances.add(run.instanceId)
   }
 
-  #gangOf (task: Task): readonly Task[] {
+  #gangMembers (task: Task): readonly Task[] {
     return task.job.occurrences.get(task.occurrence)?.[task.stepIndex] ?? [task]
   }
 
@@ -134,7 +134,7 @@
     for (const other of [...task.runs]) this.#options.onUnneeded(other)
   }
 
-  #noteHealth (run: Run, outcome: RunOutcome): void {
+  #updateWorkerHealth (run: Run, outcome: RunOutcome): void {
     const link = this.#options.linkOf(run)
     const nowMs = this.#options.clock.monotonicMs()
     if (outcome === 'done') {
--- a/packages/scheduler/src/lib/jobs/RunStarter.ts
+++ b/packages/scheduler/src/lib/jobs/RunStarter.ts
@@ -5,16 +5,16 @@
  */
 import { type Job, type Run, stepOf, stillFits } from '@quillscale/policy'
 import type { WorkerLink } from '../workers/WorkerLink.js'
-import type { RunBook } from './RunBook.js'
+import type { JobRegistry } from './JobRegistry.js'
 
 /** What the starter works with. @public */
 export interface RunStarterOptions {
-  readonly book: RunBook
+  readonly registry: JobRegistry
   /** Resolves with true once all that was decided so far is durable, with false if it never will be. */
-  readonly flushed: () => Promise<boolean>
+  readonly whenFlushed: () => Promise<boolean>
   readonly linkOf: (run: Run) => WorkerLink | undefined
   /** Stops a run of which nobody need know before. */
-  readonly discard: (run: Run) => void
+  readonly stopRun: (run: Run) => void
   /** Called for each job whose progress is to be written at once. */
   readonly onChanged: (job: Job) => void
 }
@@ -30,14 +30,14 @@
 
   /** Starts runs once their placement is durable. @param runs - in phase `recording` */
   async start (runs: readonly Run[]): Promise<void> {
-    const { book, flushed, linkOf } = this.#options
+    const { registry: book, whenFlushed: flushed, linkOf } = this.#options
     if (!await flushed()) return
     for (const run of runs) {
       const link = linkOf(run)
       const isWanted = run.phase === 'recording' && run.task.runs.includes(run)
       if (!isWanted) continue
       if (link?.takesWork !== true || !stillFits(link, run)) {
-        book.close(run, 'not-started')
+        book.closeRun(run, 'not-started')
         continue
       }
       run.phase = 'starting'
@@ -53,8 +53,8 @@
    *
    * @param run - to be taken away
    */
-  async takeAway (run: Run): Promise<void> {
-    const { discard, flushed, linkOf, onChanged } = this.#options
+  async evict (run: Run): Promise<void> {
+    const { stopRun: discard, whenFlushed: flushed, linkOf, onChanged } = this.#options
     if (stepOf(run.task).maxAway === undefined) return discard(run)
     run.phase = 'stopping'
     onChanged(run.task.job)
--- a/packages/scheduler/src/lib/jobs/RunTracker.ts
+++ b/packages/scheduler/src/lib/jobs/RunTracker.ts
@@ -7,7 +7,7 @@
 import type { HoldReport, RunOrderError, RunOrders } from '@quillscale/ports'
 import { clearCrashRecordIfSurvived, hasEnded, type Job, type JobId, planPaces, type Run, stepOf } from '@quillscale/policy'
 import type { EventLog } from '../duties/EventLog.js'
-import type { LossEvidence, RunBook } from './RunBook.js'
+import type { LossEvidence, JobRegistry } from './JobRegistry.js'
 import { runKey, type WorkerLink } from '../workers/WorkerLink.js'
 
 /** What the tracker works with. @public */
@@ -16,20 +16,20 @@
   readonly fencingToken: number
   readonly clock: Clock
   readonly log: EventLog
-  readonly book: RunBook
+  readonly registry: JobRegistry
   readonly linkOf: (run: Run) => WorkerLink | undefined
   /** Whether a job's runs are left alone, since what was recorded of them cannot be read. */
   readonly isSetAside: (jobId: JobId) => boolean
   /** Called for each job that left the queue, or of which something was learned that is to be kept. */
   readonly onChanged: (job: Job) => void
   /** Called when a ticket was refused. */
-  readonly onNoTicket: (run: Run) => void
+  readonly onTicketRefused: (run: Run) => void
   readonly count: (name: string, label?: string) => void
 }
 
 /** A worker that refuses a start for want of room or health is left alone so long, one that does not answer longer. */
-const REFUSAL_PAUSE_MS = 300
-const SILENCE_PAUSE_MS = 900
+const REFUSAL_BACKOFF_MS = 300
+const UNANSWERED_BACKOFF_MS = 900
 const NOT_LISTED: LossEvidence = { reason: 'its worker does not list it', silentMs: 0 }
 
 /** The tracker. @public */
@@ -42,18 +42,18 @@
   }
 
   /** @param link - whose report @param report - both lists @param askedMs - monotonic, when the worker was asked */
-  read (link: WorkerLink, report: HoldReport, askedMs: number): void {
-    const { book, clock, log, orders, fencingToken, isSetAside } = this.#options
+  applyReport (link: WorkerLink, report: HoldReport, askedMs: number): void {
+    const { registry: book, clock, log, orders, fencingToken, isSetAside } = this.#options
     const nowMs = clock.monotonicMs()
-    for (const end of report.ended) book.noteEnd(link, end)
+    for (const end of report.ended) book.recordEndReport(link, end)
     const running = new Map(report.running.map((run) => [runKey(run), run]))
     for (const [key, run] of [...link.runs]) {
       const seen = running.get(key)
-      if (seen !== undefined) this.#seen(run, seen.percent, seen.load, seen.checkpoint, nowMs)
-      else if (!report.hasMoreEnds) this.#notSeen(run, askedMs)
+      if (seen !== undefined) this.#updateListedRun(run, seen.percent, seen.load, seen.checkpoint, nowMs)
+      else if (!report.hasMoreEnds) this.#closeUnlistedRun(run, askedMs)
     }
     for (const [key, seen] of running) {
-      if (link.runs.has(key) || isSetAside(jobIdOf(seen.taskKey))) continue
+      if (link.runs.has(key) || isSetAside(jobIdOfTask(seen.taskKey))) continue
       // Placements are written before starts, so this is a run that was given up; it is stopped again.
       log.warn({ taskKey: seen.taskKey, runNumber: seen.runNumber, instanceId: link.instance.instanceId }, 'a run that is not recorded is stopped')
       void orders.stop(link.instance, seen, fencingToken)
@@ -65,37 +65,37 @@
   started (run: Run): void {
     if (run.phase !== 'starting') return
     run.phase = 'running'
-    this.#hasBegun(run.task.job)
+    this.#markJobRunning(run.task.job)
     run.startedMs = run.progressMs = this.#options.clock.monotonicMs()
     this.#options.count('runs_started')
   }
 
   /** @param link - of the worker @param run - that did not start, or may have @param error - why */
-  notStarted (link: WorkerLink, run: Run, error: RunOrderError): void {
-    const { log, clock, book, count, onNoTicket } = this.#options
+  handleStartFailure (link: WorkerLink, run: Run, error: RunOrderError): void {
+    const { log, clock, registry: book, count, onTicketRefused: onNoTicket } = this.#options
     const { taskKey, runNumber, instanceId, isUncertain } = run
     log.info({ taskKey, runNumber, instanceId, error, isUncertain }, 'run not started')
     count('starts_refused', error.kind)
     const nowMs = clock.monotonicMs()
-    if (error.kind === 'unhealthy' || error.kind === 'no-room') link.refusingUntilMs = nowMs + REFUSAL_PAUSE_MS
-    if (error.kind === 'unknown-effect') link.refusingUntilMs = nowMs + SILENCE_PAUSE_MS
+    if (error.kind === 'unhealthy' || error.kind === 'no-room') link.refusingUntilMs = nowMs + REFUSAL_BACKOFF_MS
+    if (error.kind === 'unknown-effect') link.refusingUntilMs = nowMs + UNANSWERED_BACKOFF_MS
     if (error.kind === 'no-ticket') onNoTicket(run)
     if (isUncertain) void link.stop(run)
-    else book.close(run, 'not-started')
+    else book.closeRun(run, 'not-started')
   }
 
   /** Stops a run that is not needed any more, whatever is known of it. @param run - any */
-  discard (run: Run): void {
-    if (run.phase === 'recording') return this.#options.book.close(run, 'not-started')
+  stopRun (run: Run): void {
+    if (run.phase === 'recording') return this.#options.registry.closeRun(run, 'not-started')
     if (run.phase !== 'stopping') void this.#options.linkOf(run)?.stop(run)
   }
 
-  #seen (run: Run, percent: number, load: number, checkpoint: string, nowMs: number): void {
+  #updateListedRun (run: Run, percent: number, load: number, checkpoint: string, nowMs: number): void {
     if (run.phase === 'unconfirmed' || run.phase === 'starting') {
       run.phase = 'running'
-      this.#hasBegun(run.task.job)
+      this.#markJobRunning(run.task.job)
       run.startedMs = nowMs
-      if (hasEnded(run.task.job) || run.task.isDone || run.shouldStop) this.discard(run)
+      if (hasEnded(run.task.job) || run.task.isDone || run.shouldStop) this.stopRun(run)
     }
     if (percent > run.percent) run.progressMs = nowMs
     run.lastListedMs = nowMs
@@ -106,11 +106,11 @@
   }
 
   /** A run that the worker does not list: never started, or over and stopped. */
-  #notSeen (run: Run, askedMs: number): void {
-    const { book } = this.#options
-    if (run.phase === 'unconfirmed') book.close(run, 'not-started')
-    else if (run.phase === 'stopping' && run.stopConfirmedMs !== undefined && run.stopConfirmedMs <= askedMs) book.close(run, 'stopped')
-    else if (run.phase === 'running' && run.startedMs !== undefined && run.startedMs < askedMs) book.close(run, 'lost', { evidence: NOT_LISTED })
+  #closeUnlistedRun (run: Run, askedMs: number): void {
+    const { registry: book } = this.#options
+    if (run.phase === 'unconfirmed') book.closeRun(run, 'not-started')
+    else if (run.phase === 'stopping' && run.stopConfirmedMs !== undefined && run.stopConfirmedMs <= askedMs) book.closeRun(run, 'stopped')
+    else if (run.phase === 'running' && run.startedMs !== undefined && run.startedMs < askedMs) book.closeRun(run, 'lost', { evidence: NOT_LISTED })
   }
 
   async #pace (link: WorkerLink, run: Run, percent: number): Promise<void> {
@@ -122,11 +122,11 @@
   }
 
   /** A job waits until a worker has begun with it: placements may come to nothing. */
-  #hasBegun (job: Job): void {
+  #markJobRunning (job: Job): void {
     if (job.status !== 'queued') return
     job.status = 'running'
     this.#options.onChanged(job)
   }
 }
 
-const jobIdOf = (taskKey: string): JobId => (taskKey.split('.')[0] ?? '') as JobId
+const jobIdOfTask = (taskKey: string): JobId => (taskKey.split('.')[0] ?? '') as JobId
--- a/packages/scheduler/src/lib/jobs/StatusWriter.ts
+++ b/packages/scheduler/src/lib/jobs/StatusWriter.ts
@@ -23,11 +23,11 @@
 }
 
 /** How often the counts of waiting jobs are written at least; readers take older ones for outdated. */
-const WAITING_COUNT_MS = 1000
+const WAITING_COUNT_INTERVAL_MS = 1000
 /** The demand for machines is summed up this often; written at once if it grew by a machine, else this often if it changed, and as a sign of life. */
-const DEMAND_MS = 100
-const DEMAND_CHANGE_MS = 400
-const DEMAND_REPEAT_MS = 2000
+const DEMAND_INTERVAL_MS = 100
+const DEMAND_CHANGE_INTERVAL_MS = 400
+const DEMAND_REFRESH_INTERVAL_MS = 2000
 
 /** The writer. @public */
 export class StatusWriter {
@@ -35,8 +35,8 @@
   #waitingText = ''
   #waitingWrittenMs = -Infinity
   #demandText = ''
-  #demandNeed = 0
-  #demandMadeMs = -Infinity
+  #writtenNeed = 0
+  #demandComputedMs = -Infinity
   #demandWrittenMs = -Infinity
 
   /** @param options - what it works with */
@@ -46,8 +46,8 @@
 
   /** Writes what has changed. @param jobs - of the service @param workers - of the service @param nowMs - monotonic */
   write (jobs: readonly Job[], workers: WorkerSet, nowMs: number): void {
-    if (nowMs - this.#waitingWrittenMs >= WAITING_COUNT_MS) this.#writeWaiting(jobs, nowMs)
-    if (nowMs - this.#demandMadeMs >= DEMAND_MS) this.#writeDemand(jobs, workers, nowMs)
+    if (nowMs - this.#waitingWrittenMs >= WAITING_COUNT_INTERVAL_MS) this.#writeWaiting(jobs, nowMs)
+    if (nowMs - this.#demandComputedMs >= DEMAND_INTERVAL_MS) this.#writeDemand(jobs, workers, nowMs)
   }
 
   #writeWaiting (jobs: readonly Job[], nowMs: number): void {
@@ -66,21 +66,21 @@
 
   /** More need is told at once, anything else now and then. */
   #writeDemand (jobs: readonly Job[], workers: WorkerSet, nowMs: number): void {
-    this.#demandMadeMs = nowMs
+    this.#demandComputedMs = nowMs
     const { service, clock, log, limitOf, put } = this.#options
     const demand = computeServiceDemand({ service, jobs, workerViews: workers.links, limitOf, nowMs, wallMs: clock.wallMs() })
     const need = machinesNeeded(demand)
     const text = encodeDemand(demand)
-    const isMore = need > this.#demandNeed
+    const isMore = need > this.#writtenNeed
     const ageMs = nowMs - this.#demandWrittenMs
-    if (!isMore && ageMs < (text === this.#demandText ? DEMAND_REPEAT_MS : DEMAND_CHANGE_MS)) return
-    if (need !== this.#demandNeed) {
+    if (!isMore && ageMs < (text === this.#demandText ? DEMAND_REFRESH_INTERVAL_MS : DEMAND_CHANGE_INTERVAL_MS)) return
+    if (need !== this.#writtenNeed) {
       const { wantedMillis, runsByMachine } = demand
       log.info({ service, need, machines: runsByMachine.size, wantedMillis, workers: workers.counts(nowMs) }, 'need of machines')
     }
     this.#demandWrittenMs = nowMs
     this.#demandText = text
-    this.#demandNeed = need
+    this.#writtenNeed = need
     put(demandKey(service), () => text, isMore)
   }
 }
--- a/packages/scheduler/src/lib/workers/DoubtfulRuns.ts
+++ b/packages/scheduler/src/lib/workers/DoubtfulRuns.ts
@@ -8,7 +8,7 @@
  */
 import { workerIdOf, type HoldReport } from '@quillscale/ports'
 import type { Run } from '@quillscale/policy'
-import type { WorkerLoss } from '../jobs/CrashBook.js'
+import type { WorkerLoss } from '../jobs/CrashTracker.js'
 import { runKey, type WorkerLink } from './WorkerLink.js'
 
 /** What is known of a run in doubt. @public */
--- a/packages/scheduler/src/lib/workers/RunLosses.ts
+++ b/packages/scheduler/src/lib/workers/RunLosses.ts
@@ -6,8 +6,8 @@
 import type { Clock } from '@quillscale/utils'
 import { bornMsOf, type HoldReport } from '@quillscale/ports'
 import type { Run } from '@quillscale/policy'
-import type { WorkerLoss } from '../jobs/CrashBook.js'
-import type { LossEvidence } from '../jobs/RunBook.js'
+import type { WorkerLoss } from '../jobs/CrashTracker.js'
+import type { LossEvidence } from '../jobs/JobRegistry.js'
 import { DoubtfulRuns, type Doubt, type DoubtfulRun } from './DoubtfulRuns.js'
 import type { LeaseBounds } from './LeaseBounds.js'
 import { MACHINE_GONE } from './OverLifetimes.js'
@@ -137,7 +137,7 @@
     const silentMs = link?.silentForMs(nowMs)
     return {
       instanceId,
-      heardMs: silentMs === undefined ? undefined : nowMs - silentMs,
+      lastAnswerMs: silentMs === undefined ? undefined : nowMs - silentMs,
       rack: link?.instance.labels.at(-1),
       availabilityZone: link?.instance.availabilityZone,
       isPlanned: link !== undefined && this.#isEndPlanned(link, nowMs),
@@ -151,7 +151,7 @@
     return isLeaving || link.instance.state === 'draining' || this.#options.isVacating(link.instance.machineId)
   }
 
-  #loseRun (run: Run, { heardMs }: Omit<WorkerLoss, 'runs'>, reason: string, runsOfOtherJobs = 0): void {
+  #loseRun (run: Run, { lastAnswerMs: heardMs }: Omit<WorkerLoss, 'runs'>, reason: string, runsOfOtherJobs = 0): void {
     const { clock, tookOverMs, onLost } = this.#options
     const nowMs = clock.monotonicMs()
     const placedAgoMs = run.placedMs === undefined ? undefined : Math.round(nowMs - run.placedMs)
--- a/packages/scheduler/src/test/CrashBook.test.ts
+++ b/packages/scheduler/src/test/CrashTracker.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai'
 import { createJob, isCrashSuspect, jobSpecSchema, decidePlacement, clearCrashRecordIfSurvived, tasksOf, type Job, type Run, type Task, type PlacementDecision } from '@quillscale/policy'
-import { CrashBook } from '../lib/jobs/CrashBook.js'
+import { CrashTracker } from '../lib/jobs/CrashTracker.js'
 import { QUEUE, testJobId, TestLog } from './TestService.js'
 
 /** One worker that ends, at which time, and what ran there: tasks, each with how long ago it was started. */
@@ -132,12 +132,12 @@
   for (const { name, steps, expected } of cases) {
     it(`judges a task: ${name}`, () => {
       const tasks = new Tasks()
-      const book = new CrashBook({ log: new TestLog(), count: () => {}, onChanged: () => {} })
+      const book = new CrashTracker({ log: new TestLog(), count: () => {}, onChanged: () => {} })
       steps.forEach((step, at) => {
-        if ('convicted' in step) return book.clearOthers(tasks.jobOf(step.convicted))
+        if ('convicted' in step) return book.clearOtherJobs(tasks.jobOf(step.convicted))
         const { atMs, rack, zone, runs, heardAgoMs = 100, isPlanned = false, isSilent = false } = step
         const lost = runs.map(({ task, agoMs, phase }) => runOf(tasks.find(task), atMs - agoMs, phase))
-        book.note({ instanceId: `w${at}`, rack, availabilityZone: zone, heardMs: atMs - heardAgoMs, runs: lost, isPlanned, isSilent }, atMs)
+        book.recordLoss({ instanceId: `w${at}`, rack, availabilityZone: zone, lastAnswerMs: atMs - heardAgoMs, runs: lost, isPlanned, isSilent }, atMs)
       })
       const task = tasks.find(expected.task)
       expect({ task: expected.task, points: task.crashes.points, isSuspect: isCrashSuspect(task), verdict: decidePlacement(task, JUDGED_MS) })
@@ -148,16 +148,16 @@
   it('takes nothing back of newer crashes for one that a long run has cleared a task of', () => {
     const tasks = new Tasks()
     const [lasting, culprit] = [tasks.find('l'), tasks.find('b')]
-    const book = new CrashBook({ log: new TestLog(), count: () => {}, onChanged: () => {} })
-    const note = (atMs: number, begun: readonly Task[]): void => book.note({
-      instanceId: `w${atMs}`, rack: undefined, availabilityZone: undefined, heardMs: atMs - 50, runs: begun.map((task) => runOf(task, atMs - 100)), isPlanned: false, isSilent: false
+    const book = new CrashTracker({ log: new TestLog(), count: () => {}, onChanged: () => {} })
+    const note = (atMs: number, begun: readonly Task[]): void => book.recordLoss({
+      instanceId: `w${atMs}`, rack: undefined, availabilityZone: undefined, lastAnswerMs: atMs - 50, runs: begun.map((task) => runOf(task, atMs - 100)), isPlanned: false, isSilent: false
     }, atMs)
     note(0, [lasting, culprit])
     clearCrashRecordIfSurvived(runOf(lasting, 1000), 5000)
     note(6000, [lasting])
     note(8000, [lasting])
     const { points } = lasting.crashes
-    book.clearOthers(culprit.job)
+    book.clearOtherJobs(culprit.job)
     expect(lasting.crashes.points).to.equal(points)
     expect(isCrashSuspect(lasting)).to.equal(true)
   })
@@ -165,12 +165,12 @@
   it('holds nothing against a task that lasts and has been at work for long, however often', () => {
     const tasks = new Tasks()
     const task = tasks.find('l')
-    const book = new CrashBook({ log: new TestLog(), count: () => {}, onChanged: () => {} })
+    const book = new CrashTracker({ log: new TestLog(), count: () => {}, onChanged: () => {} })
     for (let atMs = 10_000; atMs < 1_000_000; atMs += 10_000) {
       const run = runOf(task, atMs - 4000)
       clearCrashRecordIfSurvived(run, atMs)
       expect(decidePlacement(task, atMs)).to.equal('place')
-      book.note({ instanceId: 'w', rack: undefined, availabilityZone: undefined, heardMs: atMs - 100, runs: [run], isPlanned: false, isSilent: false }, atMs)
+      book.recordLoss({ instanceId: 'w', rack: undefined, availabilityZone: undefined, lastAnswerMs: atMs - 100, runs: [run], isPlanned: false, isSilent: false }, atMs)
     }
   })
 })
--- a/packages/scheduler/src/test/ServiceScheduler.test.ts
+++ b/packages/scheduler/src/test/ServiceScheduler.test.ts
@@ -244,11 +244,11 @@
     const jobId = await service.submit(1, { runMs: 20 })
     await service.until('it was placed', () => service.log.lines.some((line) => line.startsWith('tasks placed')))
     await delay(1300)
-    expect(await service.desk.waiting(QUEUE, SERVICE, performance.now() + 1000)).to.equal(1)
+    expect(await service.desk.countWaiting(QUEUE, SERVICE, performance.now() + 1000)).to.equal(1)
     expect(await service.status(jobId)).to.equal('queued')
     service.tenures[0]?.scheduler.close()
     await delay(2600)
-    expect(await service.desk.waiting(QUEUE, SERVICE, performance.now() + 1000)).to.equal(1)
+    expect(await service.desk.countWaiting(QUEUE, SERVICE, performance.now() + 1000)).to.equal(1)
   })
 
   it('a cancel that is listed before its job holds', async () => {
--- a/packages/scheduler/src/test/TestService.ts
+++ b/packages/scheduler/src/test/TestService.ts
@@ -12,7 +12,7 @@
 import { StandInRuns, type StandInCommand, type StandInWorker } from '@quillscale/standins'
 import { type JobId, type JobOwner, type JobSpec, jobSpecSchema, type StepSpec } from '@quillscale/policy'
 import * as z from 'zod'
-import { JobDesk } from '../lib/jobs/JobDesk.js'
+import { JobApi } from '../lib/jobs/JobApi.js'
 import type { EventLog } from '../lib/duties/EventLog.js'
 import { MonitoredStore } from '../lib/records/MonitoredStore.js'
 import { RecordReader } from '../lib/records/RecordReader.js'
@@ -120,7 +120,7 @@
   readonly records = new RecordReader(this.log, this.metrics)
   /** In the program other calls find out that the store is back; here a test has to make one. */
   readonly deskStore: MonitoredStore
-  readonly desk: JobDesk
+  readonly desk: JobApi
   readonly tenures: Tenure[] = []
   maxLeaseMs = 1000
   configuration: FleetConfiguration = {
@@ -134,7 +134,7 @@
   constructor (workers: number, cpuMillis = 4000, readonly bornMs?: number) {
     this.runs = new StandInRuns(systemClock, (taskKey) => ({ cpuMillis: this.#cpuOf(taskKey), memoryMb: 0, gpus: 0 }))
     this.deskStore = new MonitoredStore(this.store, systemClock)
-    this.desk = new JobDesk({ store: this.deskStore, clock: systemClock, log: this.log, records: this.records })
+    this.desk = new JobApi({ store: this.deskStore, clock: systemClock, log: this.log, records: this.records })
     for (let index = 0; index < workers; index++) this.addWorker(index, 1, cpuMillis)
   }
 
--- a/packages/scheduler/src/test/foreignRecords.test.ts
+++ b/packages/scheduler/src/test/foreignRecords.test.ts
@@ -179,7 +179,7 @@
     service = new TestService(1)
     service.write(jobKey(SERVICE, OTHER_JOB), '{"jobId":')
     expect(await service.status(OTHER_JOB)).to.equal('unavailable')
-    expect(await service.desk.waiting(QUEUE, SERVICE, performance.now() + DEADLINE_MS)).to.equal(0)
+    expect(await service.desk.countWaiting(QUEUE, SERVICE, performance.now() + DEADLINE_MS)).to.equal(0)
   })
 
   it('a request to empty a machine is repeated in the answer, whatever it says', async () => {
