--- a/packages/scheduler/src/lib/duties/ServiceScheduler.ts
+++ b/packages/scheduler/src/lib/duties/ServiceScheduler.ts
@@ -12,7 +12,7 @@
 import { hasEnded, type Job, PlacementRound, type Run, RunTimeEstimator } from '@quillscale/policy'
 import { accountsOf } from '../accounts/AccountDirectory.js'
 import { QuotaLedger } from '../accounts/QuotaLedger.js'
-import { AdviceBook } from '../workers/AdviceBook.js'
+import { PlacementAdviceCache } from '../workers/PlacementAdviceCache.js'
 import type { FencedBatchWriter, RecordEncoder } from '../records/FencedBatchWriter.js'
 import { createReplica } from '../records/createReplica.js'
 import type { EventLog } from './EventLog.js'
@@ -30,7 +30,7 @@
 import { cancelKey, chainKey, goneKey, inboxPrefix, jobKey, progressKey, progressPrefix, silentWorkersKey } from '../records/storeKeys.js'
 import { retryUntilAnswered } from '../records/retryUntilAnswered.js'
 import { WorkerRegistrations } from '../workers/WorkerRegistrations.js'
-import { WorkerSet, type WorkerSetOptions } from '../workers/WorkerSet.js'
+import { WorkerTracker, type WorkerTrackerOptions } from '../workers/WorkerTracker.js'
 
 /** The least time between two placement rounds: tasks that end together are replaced together. */
 const ROUND_SPACING_MS = 20
@@ -48,11 +48,11 @@
   readonly #book: JobRegistry
   readonly #log: EventLog
   readonly #times = new RunTimeEstimator()
-  readonly #advice: AdviceBook
+  readonly #advice: PlacementAdviceCache
   readonly #vacator: MachineDrainer
   readonly #silentWorkers: SilentWorkers
   readonly #ledger: QuotaLedger
-  readonly #workers: WorkerSet
+  readonly #workers: WorkerTracker
   readonly #tracker: RunTracker
   readonly #crashBook: CrashTracker
   readonly #starter: RunStarter
@@ -103,10 +103,10 @@
     this.#silentWorkers = this.#createSilentWorkers(put)
     this.#workers = this.#createWorkers()
     this.#statusWriter = new StatusWriter({ service, clock, log: options.log, put, limitOf: (account) => accountsOf(configuration()).limitOf(account) })
-    this.#advice = new AdviceBook({ advice: options.advice, clock, log: options.log, onAdvice: () => this.#wake() })
+    this.#advice = new PlacementAdviceCache({ advice: options.advice, clock, log: options.log, onAdvice: () => this.#wake() })
     this.#vacator = new MachineDrainer({ service, clock, log: options.log, put, stop: (run) => { void this.#starter.evict(run) } })
     this.#registrations = new WorkerRegistrations({
-      ...options, prefix: options.workersPrefix, isServiceNamed: (name) => configuration()?.services.some((named) => named.name === name) === true
+      ...options, prefix: options.workersPrefix, isServiceConfigured: (name) => configuration()?.services.some((named) => named.name === name) === true
     })
     this.#registrationItems = createReplica(options.log, {
       store, clock, prefix: options.workersPrefix, spacingMs: WORKERS_SPACING_MS, onChange: () => this.#followWorkers()
@@ -117,7 +117,7 @@
       vacator: this.#vacator,
       weightOf: (account) => accountsOf(configuration()).weightOf(account),
       onRunRestored: (run) => this.#adopt(run),
-      onGone: (workerId, report) => this.#workers.noteGone(workerId, report)
+      onGone: (workerId, report) => this.#workers.handleMachineDown(workerId, report)
     })
     this.#inbox = createReplica(options.log, {
       store, clock, prefix: inboxPrefix(service), spacingMs: INBOX_SPACING_MS, onChange: (change) => this.#readInbox(change)
@@ -146,7 +146,7 @@
       linkOf: (run) => this.#workers.linkOf(run),
       isSetAside: (jobId) => this.#inboxReader.isSetAside(jobId),
       onChanged: (job) => this.#changed(job),
-      onTicketRefused: (run) => this.#advice.forget(run.task),
+      onTicketRefused: (run) => this.#advice.invalidate(run.task),
       count: (name, label = service) => metrics.count(name, label)
     })
   }
@@ -159,17 +159,17 @@
       flushed: () => this.#commits.flushed(),
       longestLeaseMs: () => this.#workers.longestLeaseMs(this.#options.clock.monotonicMs()),
       leasesLeftMs: (instanceId, nowMs) => this.#workers.leasesLeftMs(instanceId, nowMs),
-      isKnown: (instanceId) => !this.#inbox.isListed || this.#workers.isKnown(instanceId),
-      onTimerOver: () => this.#wake()
+      isTracked: (instanceId) => !this.#inbox.isListed || this.#workers.isTracked(instanceId),
+      onTimerExpired: () => this.#wake()
     })
   }
 
-  #createWorkers (): WorkerSet {
+  #createWorkers (): WorkerTracker {
     const { service, orders, fencingToken, clock, log, holdsDuty: mayOrder, bounds } = this.#options
-    const linkOptions: WorkerSetOptions['linkOptions'] = {
+    const linkOptions: WorkerTrackerOptions['linkOptions'] = {
       orders,
       fencingToken,
-      mayOrder,
+      holdsDuty: mayOrder,
       onReport: (link, report, askedMs) => {
         this.#tracker.applyReport(link, report, askedMs)
         this.#wake()
@@ -182,7 +182,7 @@
       ensureDurable: () => this.#commits.flushed(),
       onFencedOff: () => this.#deposed('a worker obeys a newer holder')
     }
-    return new WorkerSet({
+    return new WorkerTracker({
       clock,
       log,
       bounds,
@@ -194,7 +194,7 @@
         this.#options.metrics.record('lost_run_silence', evidence.reason, evidence.silentMs)
         this.#book.closeRun(run, 'lost', { evidence })
       },
-      onGoneForgotten: (workerId) => this.#commits.put(goneKey(service, workerId), () => undefined),
+      onMachineDownForgotten: (workerId) => this.#commits.put(goneKey(service, workerId), () => undefined),
       onMoved: (run) => this.#changed(run.task.job, true),
       onChange: () => this.#wake()
     })
@@ -203,7 +203,7 @@
   /** Workers are met only once all jobs are known: the end of a run whose job is not would be acknowledged, and lost. */
   #followWorkers (): void {
     if (!this.#hasHeardOfAll || !this.#registrationItems.isListed) return
-    this.#workers.follow(this.#registrations.read(this.#registrationItems.items))
+    this.#workers.updateRegistrations(this.#registrations.read(this.#registrationItems.items))
   }
 
   /** Schedules until stopped or deposed. */
@@ -215,7 +215,7 @@
     if (!await this.#recover()) return
     this.#log.info({ service, fencingToken, jobs: this.#book.jobs.size, tookMs: clock.monotonicMs() - this.#tookOverMs }, 'scheduling begins')
     await Promise.all([
-      this.#commits.run(), this.#inbox.run(this.#stop.signal), registrationsFollowed, this.#silentWorkers.followTimers(this.#stop.signal), this.#rounds()
+      this.#commits.run(), this.#inbox.run(this.#stop.signal), registrationsFollowed, this.#silentWorkers.watchTimers(this.#stop.signal), this.#rounds()
     ])
   }
 
@@ -234,7 +234,7 @@
   async flush (timeoutMs: number): Promise<void> {
     if (this.#commits === undefined) return
     const beganMs = this.#options.clock.monotonicMs()
-    await Promise.race([this.#workers.noteSilent(beganMs), delay(timeoutMs)])
+    await Promise.race([this.#workers.recordSilentWorkers(beganMs), delay(timeoutMs)])
     await this.#commits.flushWithin(timeoutMs - (this.#options.clock.monotonicMs() - beganMs))
   }
 
@@ -318,7 +318,7 @@
 
   #round (): void {
     const nowMs = this.#options.clock.monotonicMs()
-    this.#workers.closeLapsed(nowMs)
+    this.#workers.loseExpiredRuns(nowMs)
     if (!this.#inbox.isListed || !this.#registrationItems.isListed) return
     this.#vacator.reconcile(this.#workers, nowMs)
     this.#vacator.drainLeavingWorkers(this.#workers.leaving(this.#registrationItems.steadyForMs(nowMs), nowMs), nowMs)
@@ -363,7 +363,7 @@
 
   #adopt (run: Run): void {
     this.#ledger.addRun(run)
-    this.#workers.adopt(run)
+    this.#workers.addRun(run)
   }
 
   /** Ended jobs are removed once nobody is owed an answer about them. */
--- a/packages/scheduler/src/lib/jobs/RunStarter.ts
+++ b/packages/scheduler/src/lib/jobs/RunStarter.ts
@@ -43,7 +43,7 @@
       run.phase = 'starting'
       const { task } = run
       const checkpoint = stepOf(task).isCheckpointing && task.checkpoint !== '' ? task.checkpoint : undefined
-      void link.start(run, task.job.spec.command, checkpoint)
+      void link.startRun(run, task.job.spec.command, checkpoint)
     }
   }
 
--- a/packages/scheduler/src/lib/jobs/StatusWriter.ts
+++ b/packages/scheduler/src/lib/jobs/StatusWriter.ts
@@ -10,7 +10,7 @@
 import type { EventLog } from '../duties/EventLog.js'
 import { demandKey, encodeDemand } from '../records/serviceDemand.js'
 import { waitingKey } from '../records/storeKeys.js'
-import type { WorkerSet } from '../workers/WorkerSet.js'
+import type { WorkerTracker } from '../workers/WorkerTracker.js'
 
 /** What the writer works with. @public */
 export interface StatusWriterOptions {
@@ -45,7 +45,7 @@
   }
 
   /** Writes what has changed. @param jobs - of the service @param workers - of the service @param nowMs - monotonic */
-  write (jobs: readonly Job[], workers: WorkerSet, nowMs: number): void {
+  write (jobs: readonly Job[], workers: WorkerTracker, nowMs: number): void {
     if (nowMs - this.#waitingWrittenMs >= WAITING_COUNT_INTERVAL_MS) this.#writeWaiting(jobs, nowMs)
     if (nowMs - this.#demandComputedMs >= DEMAND_INTERVAL_MS) this.#writeDemand(jobs, workers, nowMs)
   }
@@ -65,7 +65,7 @@
   }
 
   /** More need is told at once, anything else now and then. */
-  #writeDemand (jobs: readonly Job[], workers: WorkerSet, nowMs: number): void {
+  #writeDemand (jobs: readonly Job[], workers: WorkerTracker, nowMs: number): void {
     this.#demandComputedMs = nowMs
     const { service, clock, log, limitOf, put } = this.#options
     const demand = computeServiceDemand({ service, jobs, workerViews: workers.links, limitOf, nowMs, wallMs: clock.wallMs() })
--- a/packages/scheduler/src/lib/machines/MachineDrainer.ts
+++ b/packages/scheduler/src/lib/machines/MachineDrainer.ts
@@ -9,7 +9,7 @@
 import type { EventLog } from '../duties/EventLog.js'
 import { vacatedKey } from '../records/storeKeys.js'
 import type { WorkerLink } from '../workers/WorkerLink.js'
-import type { WorkerSet } from '../workers/WorkerSet.js'
+import type { WorkerTracker } from '../workers/WorkerTracker.js'
 
 /** What the vacator works with. @public */
 export interface MachineDrainerOptions {
@@ -68,13 +68,13 @@
    * @param workers - all; one that is not registered at the moment may still run what an earlier holder placed
    * @param nowMs - monotonic
    */
-  reconcile (workers: Pick<WorkerSet, 'links' | 'hasUnmetRuns'>, nowMs: number): void {
+  reconcile (workers: Pick<WorkerTracker, 'links' | 'hasOrphanedRuns'>, nowMs: number): void {
     for (const [machineId, request] of this.#requests) {
       if (request.isEmpty) continue
       const links = workers.links.filter(({ instance }) => instance.machineId === machineId)
       const runs = links.flatMap((link) => [...link.runs.values()])
       for (const run of planDrain(runs, request.sinceMs, nowMs)) this.#options.stop(run)
-      if (runs.length > 0 || (links.length === 0 && workers.hasUnmetRuns)) continue
+      if (runs.length > 0 || (links.length === 0 && workers.hasOrphanedRuns)) continue
       request.isEmpty = true
       this.#options.put(vacatedKey(this.#options.service, machineId), () => request.value, true)
       this.#options.log.info({ machineId, request: request.value, tookMs: nowMs - request.sinceMs }, 'machine is empty')
--- a/packages/scheduler/src/lib/workers/OverLifetimes.ts
+++ b/packages/scheduler/src/lib/workers/EndedLifetimes.ts
@@ -19,22 +19,22 @@
  * A list of machines may lag, and the clocks of hosts and workers may step by some seconds. A lifetime younger than this at the time of
  * the list may have begun after the machine was down: what becomes of it is known from itself.
  */
-const BORN_MARGIN_MS = 6000
+const BIRTH_TIME_MARGIN_MS = 6000
 
 /** @param instanceId - of a lifetime @param listedWallMs - when a list was asked for that shows its machine down @returns whether it is over by that @public */
-export function isOverByList (instanceId: string, listedWallMs: number): boolean {
+export function isEndedByMachineList (instanceId: string, listedWallMs: number): boolean {
   const bornMs = bornMsOf(instanceId)
-  return bornMs === undefined || bornMs + BORN_MARGIN_MS <= listedWallMs
+  return bornMs === undefined || bornMs + BIRTH_TIME_MARGIN_MS <= listedWallMs
 }
 
 /** The lifetimes. @public */
-export class OverLifetimes {
+export class EndedLifetimes {
   readonly #log: EventLog
   /** When the lists were asked for that show the workers' machines down. */
-  readonly #listedDownMs = new Map<WorkerId, number>()
-  readonly #followed = new Set<string>()
+  readonly #machineDownMs = new Map<WorkerId, number>()
+  readonly #superseded = new Set<string>()
   /** Of which it was logged that they are registered and not used. */
-  readonly #logged = new Set<string>()
+  readonly #loggedUnused = new Set<string>()
 
   /** @param log - where lines go */
   constructor (log: EventLog) {
@@ -42,26 +42,26 @@
   }
 
   /** @param workerId - whose machine is down or gone @param listedWallMs - when that was asked */
-  noteMachineGone (workerId: WorkerId, listedWallMs: number): void {
-    this.#listedDownMs.set(workerId, Math.max(listedWallMs, this.#listedDownMs.get(workerId) ?? -Infinity))
+  recordMachineDown (workerId: WorkerId, listedWallMs: number): void {
+    this.#machineDownMs.set(workerId, Math.max(listedWallMs, this.#machineDownMs.get(workerId) ?? -Infinity))
   }
 
   /** @param instanceId - of a lifetime that another one has followed */
-  noteFollowed (instanceId: string): void {
-    this.#followed.add(instanceId)
+  recordSuperseded (instanceId: string): void {
+    this.#superseded.add(instanceId)
   }
 
   /** @param instanceId - of any lifetime @returns why it is over, `undefined` if it is not known to be */
-  reasonOf (instanceId: string): string | undefined {
-    const listedMs = this.#listedDownMs.get(workerIdOf(instanceId))
-    if (listedMs !== undefined && isOverByList(instanceId, listedMs)) return MACHINE_GONE
-    return this.#followed.has(instanceId) ? OTHER_LIFETIME : undefined
+  endReasonOf (instanceId: string): string | undefined {
+    const listedMs = this.#machineDownMs.get(workerIdOf(instanceId))
+    if (listedMs !== undefined && isEndedByMachineList(instanceId, listedMs)) return MACHINE_GONE
+    return this.#superseded.has(instanceId) ? OTHER_LIFETIME : undefined
   }
 
   /** Logs once that a registered lifetime is not used. @param instance - as registered @param reason - why */
   logUnused ({ instanceId, machineId, address }: WorkerInstance, reason: string): void {
-    if (this.#logged.has(instanceId)) return
-    this.#logged.add(instanceId)
+    if (this.#loggedUnused.has(instanceId)) return
+    this.#loggedUnused.add(instanceId)
     this.#log.info({ instanceId, machineId, address, reason }, 'registered worker not used: its lifetime is over')
   }
 
@@ -71,21 +71,21 @@
    * @param registered - who is registered now
    * @returns the workers of which no lifetime is remembered any more as over by a list
    */
-  forget ({ workers, registeredIds }: RegisteredWorkers): WorkerId[] {
+  pruneUnregistered ({ workers, registeredIds }: RegisteredWorkers): WorkerId[] {
     const lifetimes = new Map(workers.map(({ instanceId }) => [workerIdOf(instanceId), instanceId]))
     const isRegistered = (instanceId: string): boolean => {
       const workerId = workerIdOf(instanceId)
       return registeredIds.has(workerId) && (lifetimes.get(workerId) ?? instanceId) === instanceId
     }
-    for (const known of [this.#followed, this.#logged]) {
+    for (const known of [this.#superseded, this.#loggedUnused]) {
       for (const instanceId of known) if (!isRegistered(instanceId)) known.delete(instanceId)
     }
-    const forgotten = [...this.#listedDownMs].flatMap(([workerId, listedMs]) => {
+    const forgotten = [...this.#machineDownMs].flatMap(([workerId, listedMs]) => {
       const present = lifetimes.get(workerId)
-      const isNeeded = registeredIds.has(workerId) && (present === undefined || isOverByList(present, listedMs))
+      const isNeeded = registeredIds.has(workerId) && (present === undefined || isEndedByMachineList(present, listedMs))
       return isNeeded ? [] : [workerId]
     })
-    for (const workerId of forgotten) this.#listedDownMs.delete(workerId)
+    for (const workerId of forgotten) this.#machineDownMs.delete(workerId)
     return forgotten
   }
 }
--- a/packages/scheduler/src/lib/workers/AdviceBook.ts
+++ b/packages/scheduler/src/lib/workers/PlacementAdviceCache.ts
@@ -9,7 +9,7 @@
 import type { EventLog } from '../duties/EventLog.js'
 
 /** What the book works with. @public */
-export interface AdviceBookOptions {
+export interface PlacementAdviceCacheOptions {
   readonly advice: PlacementAdvice
   readonly clock: Clock
   readonly log: EventLog
@@ -20,24 +20,24 @@
 /** Advice this close to its end is not used: a start takes a while to arrive. */
 const VALIDITY_MARGIN_MS = 500
 /** More are not asked about in one call: its cost grows with each. */
-const MAX_WORKERS_ASKED = 30
+const MAX_WORKERS = 30
 /** Calls that wait for their turn; further ones are asked for again in a later round. */
-const MAX_QUEUED = 32
+const MAX_PENDING = 32
 /** Steps remembered. */
-const MAX_STEPS = 2000
+const MAX_CACHED_STEPS = 2000
 
 interface Advice { readonly tickets: ReadonlyMap<string, string>, readonly validUntilMs: number }
 
 /** The book. @public */
-export class AdviceBook {
-  readonly #options: AdviceBookOptions
-  readonly #known = new Map<string, Advice>()
-  readonly #asking = new Set<string>()
-  #turn: Promise<void> = Promise.resolve()
+export class PlacementAdviceCache {
+  readonly #options: PlacementAdviceCacheOptions
+  readonly #adviceByStep = new Map<string, Advice>()
+  readonly #pending = new Set<string>()
+  #lastCall: Promise<void> = Promise.resolve()
   #isClosed = false
 
   /** @param options - what it works with */
-  constructor (options: AdviceBookOptions) {
+  constructor (options: PlacementAdviceCacheOptions) {
     this.#options = options
   }
 
@@ -51,15 +51,15 @@
    */
   ticketsFor (task: Task, instanceIds: readonly string[], nowMs: number): ReadonlyMap<string, string> | undefined {
     const { stepKey } = task
-    const known = this.#known.get(stepKey)
+    const known = this.#adviceByStep.get(stepKey)
     if (known !== undefined && nowMs < known.validUntilMs) return known.tickets
-    if (this.#asking.size < MAX_QUEUED && !this.#asking.has(stepKey) && instanceIds.length > 0) this.#ask(stepKey, instanceIds.slice(0, MAX_WORKERS_ASKED))
+    if (this.#pending.size < MAX_PENDING && !this.#pending.has(stepKey) && instanceIds.length > 0) this.#request(stepKey, instanceIds.slice(0, MAX_WORKERS))
     return undefined
   }
 
   /** @param task - whose ticket was refused */
-  forget (task: Task): void {
-    this.#known.delete(task.stepKey)
+  invalidate (task: Task): void {
+    this.#adviceByStep.delete(task.stepKey)
   }
 
   /** Asks nothing more. */
@@ -67,22 +67,22 @@
     this.#isClosed = true
   }
 
-  #ask (stepKey: string, instanceIds: readonly string[]): void {
-    this.#asking.add(stepKey)
-    this.#turn = this.#turn.then(async () => {
+  #request (stepKey: string, instanceIds: readonly string[]): void {
+    this.#pending.add(stepKey)
+    this.#lastCall = this.#lastCall.then(async () => {
       if (this.#isClosed) return
       const askedMs = this.#options.clock.monotonicMs()
       const advice = await this.#options.advice.advise(stepKey, instanceIds)
-      this.#asking.delete(stepKey)
+      this.#pending.delete(stepKey)
       if (advice.err) {
         this.#options.log.info({ stepKey, error: advice.val }, 'no advice')
         return
       }
       const { workers, validMs } = advice.val
       const tickets = new Map(workers.map(({ instanceId, ticket }) => [instanceId, ticket]))
-      this.#known.set(stepKey, { tickets, validUntilMs: askedMs + validMs - VALIDITY_MARGIN_MS })
-      const oldest = this.#known.keys().next()
-      if (this.#known.size > MAX_STEPS && oldest.done !== true) this.#known.delete(oldest.value)
+      this.#adviceByStep.set(stepKey, { tickets, validUntilMs: askedMs + validMs - VALIDITY_MARGIN_MS })
+      const oldest = this.#adviceByStep.keys().next()
+      if (this.#adviceByStep.size > MAX_CACHED_STEPS && oldest.done !== true) this.#adviceByStep.delete(oldest.value)
       this.#options.onAdvice()
     })
   }
--- a/packages/scheduler/src/lib/workers/RunLosses.ts
+++ b/packages/scheduler/src/lib/workers/RunLossHandler.ts
@@ -8,20 +8,20 @@
 import type { Run } from '@quillscale/policy'
 import type { WorkerLoss } from '../jobs/CrashTracker.js'
 import type { LossEvidence } from '../jobs/JobRegistry.js'
-import { DoubtfulRuns, type Doubt, type DoubtfulRun } from './DoubtfulRuns.js'
+import { UnresolvedRuns, type UnresolvedState, type UnresolvedRun } from './UnresolvedRuns.js'
 import type { LeaseBounds } from './LeaseBounds.js'
-import { MACHINE_GONE } from './OverLifetimes.js'
+import { MACHINE_GONE } from './EndedLifetimes.js'
 import { runKey, type WorkerLink } from './WorkerLink.js'
 
 /** Why runs are given up. @public */
-export const STARTED_AGAIN = 'its worker has started again'
+export const WORKER_RESTARTED = 'its worker has started again'
 /** The same. @public */
-export const LEASES_OVER = 'its leases are over'
+export const LEASES_EXPIRED = 'its leases are over'
 /** The same. @public */
-export const FORMER_LEASES_OVER = 'leases of former holders are over'
+export const PREVIOUS_LEASES_EXPIRED = 'leases of former holders are over'
 
 /** What it works with. @public */
-export interface RunLossesOptions {
+export interface RunLossHandlerOptions {
   readonly clock: Clock
   readonly leases: LeaseBounds
   /** Monotonic; since when the duty is held. */
@@ -37,36 +37,36 @@
 }
 
 /** An order under way when its worker's machine went down has reached the next lifetime within this, and is listed there, or never will. */
-const ORDERS_SETTLED_MS = 1500
+const ORDERS_IN_FLIGHT_MS = 1500
 
 /** The losses. @public */
-export class RunLosses {
-  readonly #options: RunLossesOptions
-  readonly #doubtful = new DoubtfulRuns()
+export class RunLossHandler {
+  readonly #options: RunLossHandlerOptions
+  readonly #unresolved = new UnresolvedRuns()
 
   /** @param options - what it works with */
-  constructor (options: RunLossesOptions) {
+  constructor (options: RunLossHandlerOptions) {
     this.#options = options
   }
 
   /** @param instanceId - any @returns whether runs of that lifetime are in doubt */
-  hasDoubtful (instanceId: string): boolean {
-    return this.#doubtful.has(instanceId)
+  hasUnresolved (instanceId: string): boolean {
+    return this.#unresolved.has(instanceId)
   }
 
   /** Takes note of a run of a lifetime that is over: a former holder's order for it may have reached the present one. @param run - as recorded */
-  doubt (run: Run): void {
-    this.#doubtful.add(run, this.#doubtOf(STARTED_AGAIN, { mayArrive: false, loss: this.#lossOf(run.instanceId, undefined, STARTED_AGAIN) }))
+  addUnresolved (run: Run): void {
+    this.#unresolved.add(run, this.#unresolvedStateOf(WORKER_RESTARTED, { mayArrive: false, loss: this.#lossOf(run.instanceId, undefined, WORKER_RESTARTED) }))
   }
 
   /** Gives up the runs of a lifetime, but for those that may be on the next one. @param link - to that lifetime @param reason - why it is over */
-  loseLink (link: WorkerLink, reason: string): void {
+  loseRunsOfLink (link: WorkerLink, reason: string): void {
     const { instanceId } = link.instance
     const runs = [...link.runs.values()]
-    const inDoubt = new Set(runs.filter((run) => mayBeOnNext(run, link, reason)))
+    const inDoubt = new Set(runs.filter((run) => mayRunOnNextLifetime(run, link, reason)))
     const loss = this.#lossOf(instanceId, link, reason)
-    for (const run of inDoubt) this.#doubtful.add(run, this.#doubtOf(reason, { mayArrive: run.phase === 'starting', loss }))
-    this.lose(instanceId, link, runs.filter((run) => !inDoubt.has(run)), reason)
+    for (const run of inDoubt) this.#unresolved.add(run, this.#unresolvedStateOf(reason, { mayArrive: run.phase === 'starting', loss }))
+    this.loseRuns(instanceId, link, runs.filter((run) => !inDoubt.has(run)), reason)
   }
 
   /**
@@ -75,7 +75,7 @@
    * @param runs - of it
    * @param reason - why they are lost
    */
-  lose (instanceId: string, link: WorkerLink | undefined, runs: readonly Run[], reason: string): void {
+  loseRuns (instanceId: string, link: WorkerLink | undefined, runs: readonly Run[], reason: string): void {
     if (runs.length === 0) return
     const loss = this.#lossOf(instanceId, link, reason)
     this.#options.onWorkerLost({ ...loss, runs })
@@ -90,9 +90,9 @@
    * @param report - its answer
    * @param askedMs - monotonic, when it was asked
    */
-  settle (link: WorkerLink, report: HoldReport, askedMs: number): void {
-    if (this.#doubtful.isEmpty) return
-    const { there, arriving, lost } = this.#doubtful.settle(link, report, askedMs)
+  resolve (link: WorkerLink, report: HoldReport, askedMs: number): void {
+    if (this.#unresolved.isEmpty) return
+    const { reported: there, mayStillArrive: arriving, lost } = this.#unresolved.resolve(link, report, askedMs)
     for (const run of [...there, ...arriving.map((each) => each.run)]) {
       run.instanceId = link.instance.instanceId
       run.lastListedMs = -Infinity
@@ -101,34 +101,34 @@
       this.#options.onMoved(run)
     }
     // Whether those were started by the former lifetime is not known: they may have been.
-    this.#charge(arriving)
+    this.#reportWorkerLosses(arriving)
     for (const { run } of arriving) void link.stop(run)
-    this.#loseDoubtful(lost)
+    this.#loseUnresolved(lost)
   }
 
   /** Gives up runs in doubt that no lease allows any more. @param nowMs - monotonic */
-  loseOverdue (nowMs: number): void {
-    this.#loseDoubtful(this.#doubtful.takeOverdue(nowMs))
+  loseExpired (nowMs: number): void {
+    this.#loseUnresolved(this.#unresolved.takeExpired(nowMs))
   }
 
-  #loseDoubtful (lost: readonly DoubtfulRun[]): void {
-    this.#charge(lost)
-    for (const { run, doubt } of lost) this.#loseRun(run, doubt.loss, STARTED_AGAIN)
+  #loseUnresolved (lost: readonly UnresolvedRun[]): void {
+    this.#reportWorkerLosses(lost)
+    for (const { run, doubt } of lost) this.#loseRun(run, doubt.loss, WORKER_RESTARTED)
   }
 
   /** Tells of lifetimes that ended under runs which were in doubt, once each. */
-  #charge (settled: readonly DoubtfulRun[]): void {
+  #reportWorkerLosses (settled: readonly UnresolvedRun[]): void {
     for (const instanceId of new Set(settled.map(({ doubt }) => doubt.loss.instanceId))) {
       const ofLifetime = settled.filter(({ doubt }) => doubt.loss.instanceId === instanceId)
       for (const { doubt: { loss } } of ofLifetime.slice(0, 1)) this.#options.onWorkerLost({ ...loss, runs: ofLifetime.map(({ run }) => run) })
     }
   }
 
-  #doubtOf (reason: string, known: Pick<Doubt, 'mayArrive' | 'loss'>): Doubt {
+  #unresolvedStateOf (reason: string, known: Pick<UnresolvedState, 'mayArrive' | 'loss'>): UnresolvedState {
     const { clock, leases } = this.#options
     const sinceMs = clock.monotonicMs()
     // By the former lifetime's clock, a start may name a longer lease than the next one grants.
-    const lastsMs = reason === MACHINE_GONE ? ORDERS_SETTLED_MS : leases.longestGrantedMs
+    const lastsMs = reason === MACHINE_GONE ? ORDERS_IN_FLIGHT_MS : leases.longestWorkerLeaseMs
     return { ...known, sinceMs, untilMs: sinceMs + lastsMs }
   }
 
@@ -141,13 +141,13 @@
       rack: link?.instance.labels.at(-1),
       availabilityZone: link?.instance.availabilityZone,
       isPlanned: link !== undefined && this.#isEndPlanned(link, nowMs),
-      isSilent: reason === LEASES_OVER || reason === FORMER_LEASES_OVER
+      isSilent: reason === LEASES_EXPIRED || reason === PREVIOUS_LEASES_EXPIRED
     }
   }
 
   /** Whether it was to end: it drained, its machine was being emptied, or it went on answering without a registration. */
   #isEndPlanned (link: WorkerLink, nowMs: number): boolean {
-    const isLeaving = !link.isListed && link.isAnswering(nowMs)
+    const isLeaving = !link.isRegistered && link.isAnswering(nowMs)
     return isLeaving || link.instance.state === 'draining' || this.#options.isVacating(link.instance.machineId)
   }
 
@@ -160,9 +160,9 @@
 }
 
 /** Whether an order to start a run may have reached the next lifetime of its worker. */
-function mayBeOnNext (run: Run, link: WorkerLink, reason: string): boolean {
-  if (run.phase === 'recording' || link.hasReached(run)) return false
-  if (reason === STARTED_AGAIN) return true
+function mayRunOnNextLifetime (run: Run, link: WorkerLink, reason: string): boolean {
+  if (run.phase === 'recording' || link.hasConfirmed(run)) return false
+  if (reason === WORKER_RESTARTED) return true
   // While its machine was down there was no next lifetime for the orders of former holders.
   return reason === MACHINE_GONE && run.phase !== 'unconfirmed' && bornMsOf(run.instanceId) !== undefined
 }
--- a/packages/scheduler/src/lib/workers/SilentWorkers.ts
+++ b/packages/scheduler/src/lib/workers/SilentWorkers.ts
@@ -18,7 +18,7 @@
 import type { RecordReader } from '../records/RecordReader.js'
 import type { EventLog } from '../duties/EventLog.js'
 import { leaseTimerKey, leaseTimerPrefix, silentWorkersKey } from '../records/storeKeys.js'
-import { CLOCK_DRIFT_SHARE } from './WorkerClock.js'
+import { MAX_CLOCK_DRIFT_RATIO } from './WorkerClock.js'
 
 const recordSchema = z.object({
   /** The holder that wrote it. Where another one has written anything since, it may have extended leases without looking here. */
@@ -50,15 +50,15 @@
   /** Resolves once all that was put is durable; false if it never will be. */
   readonly flushed: () => Promise<boolean>
   /** Whether a worker is, or may be, dealt with: entries of others are left out of the record. */
-  readonly isKnown: (instanceId: string) => boolean
+  readonly isTracked: (instanceId: string) => boolean
   /** Called when a timer of a former holder is over. */
-  readonly onTimerOver: () => void
+  readonly onTimerExpired: () => void
 }
 
 /** How often the timers of former holders are looked at, while any runs; the wait for leases takes some seconds. */
-const LOOK_MS = 400
+const TIMER_POLL_INTERVAL_MS = 400
 /** After a timer that came to nothing: rounds come every few ms, and a store that refuses is left alone so long. */
-const NEXT_TIMER_MS = 500
+const TIMER_RETRY_DELAY_MS = 500
 
 /** The record. @public */
 export class SilentWorkers {
@@ -66,17 +66,17 @@
   /** What is to stand in the store: timers by worker. */
   readonly #timers = new Map<string, string>()
   /** Workers that may stand in the store now. */
-  readonly #noted = new Set<string>()
+  readonly #recorded = new Set<string>()
   /** Those whose timers former holders made. */
   readonly #inherited = new Set<string>()
   /** Timers of former holders that are over. */
-  readonly #overTimers = new Set<string>()
-  #formerLeaseMs: number | undefined
+  readonly #expiredTimers = new Set<string>()
+  #previousLeaseMs: number | undefined
   /** As the record last said, or is about to. */
   #writtenLeaseMs = 0
-  #timersMade = 0
-  #notBeforeMs = -Infinity
-  #noting: Promise<void> | undefined
+  #timersCreated = 0
+  #nextTimerMs = -Infinity
+  #pendingRecording: Promise<void> | undefined
 
   /** @param options - what it works with */
   constructor (options: SilentWorkersOptions) {
@@ -91,21 +91,21 @@
    */
   restore (item: KeyValue | undefined, formerToken: number | undefined): void {
     // Nobody has ever held the duty: there are no leases.
-    if (formerToken === undefined) this.#formerLeaseMs = 0
+    if (formerToken === undefined) this.#previousLeaseMs = 0
     const record = item === undefined ? undefined : this.#options.records.read(item, (text) => decodeJson(recordSchema, text))
-    if (record !== undefined && record.fencingToken === formerToken) this.#believe(record)
+    if (record !== undefined && record.fencingToken === formerToken) this.#adoptRecord(record)
     const { service, log } = this.#options
-    const isBelieved = this.#formerLeaseMs !== undefined
+    const isBelieved = this.#previousLeaseMs !== undefined
     const workers = record?.workers ?? []
-    if (workers.length > 0) log.info({ service, isBelieved, formerToken, workers: workers.slice(0, WORKERS_IN_LINE), count: workers.length }, 'silent workers taken over')
+    if (workers.length > 0) log.info({ service, isBelieved, formerToken, workers: workers.slice(0, MAX_LOGGED_WORKERS), count: workers.length }, 'silent workers taken over')
     this.#put(false)
   }
 
-  #believe ({ leaseMs, workers }: SilenceRecord): void {
-    this.#formerLeaseMs = leaseMs
+  #adoptRecord ({ leaseMs, workers }: SilenceRecord): void {
+    this.#previousLeaseMs = leaseMs
     for (const { instanceId, timer } of workers) {
       this.#timers.set(instanceId, timer)
-      this.#noted.add(instanceId)
+      this.#recorded.add(instanceId)
       this.#inherited.add(instanceId)
     }
   }
@@ -114,36 +114,36 @@
    * Once the leases of former holders are over the record says so: the next holder waits for leases of this one only, 1.7 s less where
    * those are 1.7 s shorter.
    */
-  renew (): void {
+  refreshLeaseMs (): void {
     if (this.#options.longestLeaseMs() < this.#writtenLeaseMs) this.#put(false)
   }
 
   /** The longest lease that former holders may have given, 0 if there are none, `undefined` if nobody wrote that down. */
-  get formerLeaseMs (): number | undefined {
-    return this.#formerLeaseMs
+  get previousLeaseMs (): number | undefined {
+    return this.#previousLeaseMs
   }
 
   /** Looks at the timers of former holders until all are over. @param signal - ends that */
-  async followTimers (signal: AbortSignal): Promise<void> {
-    const { store, service, onTimerOver } = this.#options
-    while (!signal.aborted && this.#openTimers().length > 0) {
+  async watchTimers (signal: AbortSignal): Promise<void> {
+    const { store, service, onTimerExpired: onTimerOver } = this.#options
+    while (!signal.aborted && this.#runningInheritedTimers().length > 0) {
       const listed = await store.list(leaseTimerPrefix(service))
       const running = listed.ok ? new Set(listed.val.items.map(({ key }) => key)) : undefined
-      const over = this.#openTimers().filter((timer) => running?.has(leaseTimerKey(service, timer)) === false)
-      for (const timer of over) this.#overTimers.add(timer)
+      const over = this.#runningInheritedTimers().filter((timer) => running?.has(leaseTimerKey(service, timer)) === false)
+      for (const timer of over) this.#expiredTimers.add(timer)
       if (over.length > 0) onTimerOver()
-      await delay(LOOK_MS, signal)
+      await delay(TIMER_POLL_INTERVAL_MS, signal)
     }
   }
 
   /** @param instanceId - any @returns whether it may stand in the record: its leases must not be extended then */
-  isNoted (instanceId: string): boolean {
-    return this.#noted.has(instanceId)
+  isRecorded (instanceId: string): boolean {
+    return this.#recorded.has(instanceId)
   }
 
   /** @param instanceId - any @returns whether a timer shows that the leases which former holders gave there are over */
-  areFormerLeasesOver (instanceId: string): boolean {
-    return this.#inherited.has(instanceId) && this.#overTimers.has(this.#timers.get(instanceId) ?? '')
+  havePreviousLeasesExpired (instanceId: string): boolean {
+    return this.#inherited.has(instanceId) && this.#expiredTimers.has(this.#timers.get(instanceId) ?? '')
   }
 
   /**
@@ -152,17 +152,17 @@
    * @param instanceIds - of workers that do not answer now
    * @returns once that is durable, or was given up
    */
-  async note (instanceIds: readonly string[]): Promise<void> {
-    const found = instanceIds.filter((instanceId) => !this.#noted.has(instanceId))
-    const isTooSoon = this.#options.clock.monotonicMs() < this.#notBeforeMs
-    if (found.length === 0 || this.#noting !== undefined || isTooSoon) return
-    this.#noting = this.#note(found).finally(() => { this.#noting = undefined })
-    await this.#noting
+  async recordSilent (instanceIds: readonly string[]): Promise<void> {
+    const found = instanceIds.filter((instanceId) => !this.#recorded.has(instanceId))
+    const isTooSoon = this.#options.clock.monotonicMs() < this.#nextTimerMs
+    if (found.length === 0 || this.#pendingRecording !== undefined || isTooSoon) return
+    this.#pendingRecording = this.#recordWithTimer(found).finally(() => { this.#pendingRecording = undefined })
+    await this.#pendingRecording
   }
 
-  /** Resolves once a call of {@link note} under way is over. */
-  async idle (): Promise<void> {
-    await this.#noting
+  /** Resolves once a call of {@link record} under way is over. */
+  async whenIdle (): Promise<void> {
+    await this.#pendingRecording
   }
 
   /**
@@ -171,46 +171,46 @@
    * @param instanceId - whose
    * @returns once that is durable, or never will be by this holder
    */
-  async clear (instanceId: string): Promise<void> {
-    if (!this.#noted.has(instanceId)) return
+  async remove (instanceId: string): Promise<void> {
+    if (!this.#recorded.has(instanceId)) return
     if (this.#timers.delete(instanceId)) this.#put(true)
     const isDurable = await this.#options.flushed()
     // It may have been written down anew meanwhile.
     if (!isDurable || this.#timers.has(instanceId)) return
-    this.#noted.delete(instanceId)
+    this.#recorded.delete(instanceId)
     this.#inherited.delete(instanceId)
   }
 
-  #openTimers (): string[] {
+  #runningInheritedTimers (): string[] {
     const timers = [...this.#inherited].flatMap((instanceId) => this.#timers.get(instanceId) ?? [])
-    return [...new Set(timers)].filter((timer) => !this.#overTimers.has(timer))
+    return [...new Set(timers)].filter((timer) => !this.#expiredTimers.has(timer))
   }
 
-  async #note (found: readonly string[]): Promise<void> {
+  async #recordWithTimer (found: readonly string[]): Promise<void> {
     const { clock, log, service, leasesLeftMs } = this.#options
     const askedMs = clock.monotonicMs()
     const ttlMs = this.#ttlMs(found, askedMs)
     const timer = await this.#startTimer(ttlMs)
     const nowMs = clock.monotonicMs()
-    this.#notBeforeMs = nowMs + NEXT_TIMER_MS
+    this.#nextTimerMs = nowMs + TIMER_RETRY_DELAY_MS
     if (timer === undefined) return
     // One that answered meanwhile may have been given a longer lease than the timer covers.
-    const covered = found.filter((instanceId) => !this.#noted.has(instanceId) && nowMs + leasesLeftMs(instanceId, nowMs) <= askedMs + ttlMs)
+    const covered = found.filter((instanceId) => !this.#recorded.has(instanceId) && nowMs + leasesLeftMs(instanceId, nowMs) <= askedMs + ttlMs)
     if (covered.length === 0) return
-    this.#notBeforeMs = nowMs
+    this.#nextTimerMs = nowMs
     for (const instanceId of covered) {
       this.#timers.set(instanceId, timer)
-      this.#noted.add(instanceId)
+      this.#recorded.add(instanceId)
     }
     this.#put(true)
-    log.info({ service, instanceIds: covered.slice(0, WORKERS_IN_LINE), count: covered.length, leasesLeftMs: Math.round(ttlMs) }, 'silent workers written down')
+    log.info({ service, instanceIds: covered.slice(0, MAX_LOGGED_WORKERS), count: covered.length, leasesLeftMs: Math.round(ttlMs) }, 'silent workers written down')
     await this.#options.flushed()
   }
 
   /** The store's clock may differ as much as a worker's. */
   #ttlMs (found: readonly string[], nowMs: number): number {
     const leftMs = Math.max(...found.map((instanceId) => this.#options.leasesLeftMs(instanceId, nowMs)))
-    return Math.max(this.#options.minTtlMs(), Math.ceil(leftMs * (1 + CLOCK_DRIFT_SHARE)))
+    return Math.max(this.#options.minTtlMs(), Math.ceil(leftMs * (1 + MAX_CLOCK_DRIFT_RATIO)))
   }
 
   /** It is there before the record names it. @returns its name, `undefined` if the store did not answer: a later round tries again */
@@ -221,7 +221,7 @@
       log.warn({ service, error: lease.val }, 'no timer for silent workers')
       return undefined
     }
-    const timer = `${fencingToken}-${++this.#timersMade}`
+    const timer = `${fencingToken}-${++this.#timersCreated}`
     const made = await store.transact({ conditions: [], puts: [{ key: leaseTimerKey(service, timer), value: '', leaseId: lease.val }], removals: [] })
     if (made.ok && made.val.committed) return timer
     log.warn({ service, error: made.err ? made.val : 'the lease is over' }, 'no timer for silent workers')
@@ -229,7 +229,7 @@
   }
 
   #put (isUrgent: boolean): void {
-    const { service, fencingToken, put, isKnown, longestLeaseMs } = this.#options
+    const { service, fencingToken, put, isTracked: isKnown, longestLeaseMs } = this.#options
     this.#writtenLeaseMs = longestLeaseMs()
     put(silentWorkersKey(service), () => {
       const workers = [...this.#timers].filter(([instanceId]) => isKnown(instanceId)).map(([instanceId, timer]) => ({ instanceId, timer }))
@@ -241,4 +241,4 @@
 }
 
 /** Named in a line of the log at most. */
-const WORKERS_IN_LINE = 20
+const MAX_LOGGED_WORKERS = 20
--- a/packages/scheduler/src/lib/workers/DoubtfulRuns.ts
+++ b/packages/scheduler/src/lib/workers/UnresolvedRuns.ts
@@ -12,7 +12,7 @@
 import { runKey, type WorkerLink } from './WorkerLink.js'
 
 /** What is known of a run in doubt. @public */
-export interface Doubt {
+export interface UnresolvedState {
   /** Monotonic; a report that was asked for before tells nothing. */
   readonly sinceMs: number
   /** Monotonic; from then on it runs nowhere. */
@@ -24,65 +24,65 @@
 }
 
 /** A run, and what was in doubt about it. @public */
-export interface DoubtfulRun { readonly run: Run, readonly doubt: Doubt }
+export interface UnresolvedRun { readonly run: Run, readonly doubt: UnresolvedState }
 
 /** What a new lifetime's report shows of runs in doubt. @public */
-export interface SettledRuns {
+export interface ResolvedRuns {
   /** Listed there. */
-  readonly there: readonly Run[]
+  readonly reported: readonly Run[]
   /** Not listed, and may still arrive. */
-  readonly arriving: readonly DoubtfulRun[]
+  readonly mayStillArrive: readonly UnresolvedRun[]
   /** Ended with the former lifetime. */
-  readonly lost: readonly DoubtfulRun[]
+  readonly lost: readonly UnresolvedRun[]
 }
 
 /** The runs. @public */
-export class DoubtfulRuns {
-  readonly #doubts = new Map<Run, Doubt>()
+export class UnresolvedRuns {
+  readonly #stateByRun = new Map<Run, UnresolvedState>()
 
   /** Whether nothing is in doubt, as mostly. */
   get isEmpty (): boolean {
-    return this.#doubts.size === 0
+    return this.#stateByRun.size === 0
   }
 
   /** @param run - of a lifetime that is over @param doubt - what is known of it */
-  add (run: Run, doubt: Doubt): void {
-    this.#doubts.set(run, doubt)
+  add (run: Run, doubt: UnresolvedState): void {
+    this.#stateByRun.set(run, doubt)
   }
 
   /** @param instanceId - any @returns whether runs of that lifetime are in doubt */
   has (instanceId: string): boolean {
-    return [...this.#doubts.keys()].some((run) => run.instanceId === instanceId)
+    return [...this.#stateByRun.keys()].some((run) => run.instanceId === instanceId)
   }
 
   /** @param link - of a lifetime @param report - its answer @param askedMs - monotonic, when it was asked @returns what became of runs in doubt */
-  settle (link: WorkerLink, report: HoldReport, askedMs: number): SettledRuns {
+  resolve (link: WorkerLink, report: HoldReport, askedMs: number): ResolvedRuns {
     const there: Run[] = []
-    const arriving: DoubtfulRun[] = []
-    const lost: DoubtfulRun[] = []
+    const arriving: UnresolvedRun[] = []
+    const lost: UnresolvedRun[] = []
     const workerId = workerIdOf(link.instance.instanceId)
     const listed = new Set([...report.running, ...report.ended].map(runKey))
-    for (const [run, doubt] of this.#open()) {
+    for (const [run, doubt] of this.#openRuns()) {
       if (workerIdOf(run.instanceId) !== workerId || run.instanceId === link.instance.instanceId || askedMs < doubt.sinceMs) continue
       if (listed.has(runKey(run))) there.push(run)
       else if (report.hasMoreEnds) continue
       else if (doubt.mayArrive) arriving.push({ run, doubt })
       else lost.push({ run, doubt })
-      this.#doubts.delete(run)
+      this.#stateByRun.delete(run)
     }
-    return { there, arriving, lost }
+    return { reported: there, mayStillArrive: arriving, lost }
   }
 
   /** @param nowMs - monotonic @returns the runs that by now run nowhere */
-  takeOverdue (nowMs: number): DoubtfulRun[] {
-    const lost = this.#open().filter(([, { untilMs }]) => nowMs >= untilMs).map(([run, doubt]) => ({ run, doubt }))
-    for (const { run } of lost) this.#doubts.delete(run)
+  takeExpired (nowMs: number): UnresolvedRun[] {
+    const lost = this.#openRuns().filter(([, { untilMs }]) => nowMs >= untilMs).map(([run, doubt]) => ({ run, doubt }))
+    for (const { run } of lost) this.#stateByRun.delete(run)
     return lost
   }
 
   /** Those that were closed meanwhile are forgotten. */
-  #open (): Array<[Run, Doubt]> {
-    for (const run of this.#doubts.keys()) if (!run.task.runs.includes(run)) this.#doubts.delete(run)
-    return [...this.#doubts]
+  #openRuns (): Array<[Run, UnresolvedState]> {
+    for (const run of this.#stateByRun.keys()) if (!run.task.runs.includes(run)) this.#stateByRun.delete(run)
+    return [...this.#stateByRun]
   }
 }
--- a/packages/scheduler/src/lib/workers/WorkerRegistrations.ts
+++ b/packages/scheduler/src/lib/workers/WorkerRegistrations.ts
@@ -16,7 +16,7 @@
   readonly prefix: string
   readonly decodeWorker: (item: KeyValue) => Result<WorkerInstance, RecordProblem>
   /** Whether the configuration in force has a service of that name. */
-  readonly isServiceNamed: (service: string) => boolean
+  readonly isServiceConfigured: (service: string) => boolean
   readonly records: RecordReader
 }
 
@@ -28,12 +28,12 @@
   readonly registeredIds: ReadonlySet<WorkerId>
 }
 
-interface Decoded { readonly revision: number, readonly worker: WorkerInstance | undefined }
+interface CachedEntry { readonly revision: number, readonly worker: WorkerInstance | undefined }
 
 /** The registrations. @public */
 export class WorkerRegistrations {
   readonly #options: WorkerRegistrationsOptions
-  readonly #decoded = new Map<string, Decoded>()
+  readonly #cache = new Map<string, CachedEntry>()
 
   /** @param options - what it works with */
   constructor (options: WorkerRegistrationsOptions) {
@@ -43,25 +43,25 @@
   /** @param items - below the prefix, as they are now @returns who is registered */
   read (items: ReadonlyMap<string, KeyValue>): RegisteredWorkers {
     const { service, prefix } = this.#options
-    for (const key of this.#decoded.keys()) if (!items.has(key)) this.#decoded.delete(key)
+    for (const key of this.#cache.keys()) if (!items.has(key)) this.#cache.delete(key)
     const workers: WorkerInstance[] = []
     for (const item of items.values()) {
-      const worker = this.#workerOf(item)
+      const worker = this.#decodeCached(item)
       if (worker?.service === service) workers.push(worker)
     }
     return { workers, registeredIds: new Set([...items.keys()].map((key) => key.slice(prefix.length) as WorkerId)) }
   }
 
-  #workerOf (item: KeyValue): WorkerInstance | undefined {
-    const known = this.#decoded.get(item.key)
+  #decodeCached (item: KeyValue): WorkerInstance | undefined {
+    const known = this.#cache.get(item.key)
     if (known?.revision === item.modRevision) return known.worker
     const worker = this.#decode(item)
-    this.#decoded.set(item.key, { revision: item.modRevision, worker })
+    this.#cache.set(item.key, { revision: item.modRevision, worker })
     return worker
   }
 
   #decode (item: KeyValue): WorkerInstance | undefined {
-    const { decodeWorker, isServiceNamed, records } = this.#options
+    const { decodeWorker, isServiceConfigured: isServiceNamed, records } = this.#options
     const decoded = decodeWorker(item)
     if (decoded.err) {
       records.reject(item, decoded.val)
--- a/packages/scheduler/src/test/MachineDrainer.test.ts
+++ b/packages/scheduler/src/test/MachineDrainer.test.ts
@@ -18,7 +18,7 @@
       const written: string[] = []
       const vacator = new MachineDrainer({ service: 'grids', clock: systemClock, log: new TestLog(), put: (key) => written.push(key), stop: () => {} })
       vacator.request('m1', 'upkeep 1.1')
-      vacator.reconcile({ links, hasUnmetRuns }, systemClock.monotonicMs())
+      vacator.reconcile({ links, hasOrphanedRuns: hasUnmetRuns }, systemClock.monotonicMs())
       expect(written).to.deep.equal(isReported ? [vacatedKey('grids', 'm1')] : [])
     })
   }
@@ -27,7 +27,7 @@
     const kept = new Map<string, string | undefined>()
     const put = (key: string, source: () => string | undefined): void => { kept.set(key, source()) }
     const [former, next] = ['grids', 'checks'].map((service) => new MachineDrainer({ service, clock: systemClock, log: new TestLog(), put, stop: () => {} }))
-    const step = (vacator: MachineDrainer | undefined): void => vacator?.reconcile({ links: [link], hasUnmetRuns: false }, systemClock.monotonicMs())
+    const step = (vacator: MachineDrainer | undefined): void => vacator?.reconcile({ links: [link], hasOrphanedRuns: false }, systemClock.monotonicMs())
     former?.request('m1', 'move 1.1')
     step(former)
     next?.request('m1', 'upkeep 1.2')
--- a/packages/scheduler/src/test/SilentWorkers.test.ts
+++ b/packages/scheduler/src/test/SilentWorkers.test.ts
@@ -32,8 +32,8 @@
     leasesLeftMs: (_instanceId, nowMs) => Math.max(0, this.#leasesEndMs - nowMs),
     put: (_key, source) => { this.record = source() },
     flushed: () => new Promise((resolve) => { this.#flushes.push(resolve) }),
-    isKnown: () => true,
-    onTimerOver: () => { this.timersOver++ }
+    isTracked: () => true,
+    onTimerExpired: () => { this.timersOver++ }
   })
 
   /** Leases last so long from now. */
@@ -58,7 +58,7 @@
     it(`writes several workers with one timer, which lasts as long as their leases may, where a write takes ${writeDelayMs} ms`, async () => {
       const recorded = new Recorded()
       recorded.store.writeDelayMs = () => writeDelayMs
-      void recorded.silent.note(['a', 'b'])
+      void recorded.silent.recordSilent(['a', 'b'])
       await recorded.settle()
       expect(JSON.parse(recorded.record ?? '')).to.deep.equal({
         fencingToken: TOKEN, leaseMs: LEASE_MS, workers: [{ instanceId: 'a', timer: '7-1' }, { instanceId: 'b', timer: '7-1' }]
@@ -72,47 +72,47 @@
   it('does not write down a worker that was given a lease while its timer was made', async () => {
     const recorded = new Recorded()
     recorded.store.writeDelayMs = () => 60
-    const noted = recorded.silent.note(['a'])
+    const noted = recorded.silent.recordSilent(['a'])
     await delay(30)
     recorded.extendLeases(LEFT_MS + 200)
     await noted
-    expect([recorded.record, recorded.silent.isNoted('a')]).to.deep.equal([undefined, false])
+    expect([recorded.record, recorded.silent.isRecorded('a')]).to.deep.equal([undefined, false])
   })
 
   it('keeps a worker noted that was written down anew while its removal was under way', async () => {
     const recorded = new Recorded()
-    const first = recorded.silent.note(['a'])
+    const first = recorded.silent.recordSilent(['a'])
     await recorded.settle()
     await first
-    const removals = [recorded.silent.clear('a'), recorded.silent.clear('a')]
+    const removals = [recorded.silent.remove('a'), recorded.silent.remove('a')]
     await recorded.settle()
-    expect(recorded.silent.isNoted('a')).to.equal(false)
-    const again = recorded.silent.note(['a'])
-    while (!recorded.silent.isNoted('a')) await delay(1)
+    expect(recorded.silent.isRecorded('a')).to.equal(false)
+    const again = recorded.silent.recordSilent(['a'])
+    while (!recorded.silent.isRecorded('a')) await delay(1)
     // The second removal, then the new entry.
     await recorded.settle()
     await removals[1]
-    expect(recorded.silent.isNoted('a')).to.equal(true)
+    expect(recorded.silent.isRecorded('a')).to.equal(true)
     await recorded.settle()
     await again
     expect(recorded.record).to.include('"7-2"')
-    expect(recorded.silent.isNoted('a')).to.equal(true)
+    expect(recorded.silent.isRecorded('a')).to.equal(true)
   })
 
   it('keeps a worker noted whose removal will never be durable', async () => {
     const recorded = new Recorded()
-    void recorded.silent.note(['a'])
+    void recorded.silent.recordSilent(['a'])
     await recorded.settle()
-    void recorded.silent.clear('a')
+    void recorded.silent.remove('a')
     await recorded.settle(false)
-    expect(recorded.silent.isNoted('a')).to.equal(true)
+    expect(recorded.silent.isRecorded('a')).to.equal(true)
   })
 
   it('asks a store that refuses timers twice a second at most', async () => {
     const recorded = new Recorded()
     recorded.store.refusesWrites = true
     for (let round = 0; round < 100; round++) {
-      await recorded.silent.note(['a'])
+      await recorded.silent.recordSilent(['a'])
       await delay(10)
     }
     expect(recorded.log.lines.length).to.be.within(2, 4)
@@ -126,10 +126,10 @@
     it(`${isBelieved ? 'believes' : 'does not believe'} a record that was written ${name}`, async () => {
       const recorded = new Recorded()
       recorded.silent.restore(RECORD, formerToken)
-      await recorded.silent.followTimers(new AbortController().signal)
-      expect(recorded.silent.areFormerLeasesOver('a')).to.equal(isBelieved)
-      expect(recorded.silent.isNoted('a')).to.equal(isBelieved)
-      expect(recorded.silent.formerLeaseMs).to.equal(isBelieved ? 6500 : undefined)
+      await recorded.silent.watchTimers(new AbortController().signal)
+      expect(recorded.silent.havePreviousLeasesExpired('a')).to.equal(isBelieved)
+      expect(recorded.silent.isRecorded('a')).to.equal(isBelieved)
+      expect(recorded.silent.previousLeaseMs).to.equal(isBelieved ? 6500 : undefined)
       expect(recorded.record?.includes('5-1')).to.equal(isBelieved)
       expect(recorded.timersOver).to.equal(isBelieved ? 1 : 0)
     })
@@ -140,13 +140,13 @@
     const lease = (await recorded.store.grantLease(300)).unwrap()
     await recorded.store.transact({ conditions: [], puts: [{ key: leaseTimerKey('s', '5-1'), value: '', leaseId: lease }], removals: [] })
     recorded.silent.restore(RECORD, 5)
-    const followed = recorded.silent.followTimers(new AbortController().signal)
+    const followed = recorded.silent.watchTimers(new AbortController().signal)
     await delay(100)
     recorded.store.isDown = true
     await delay(500)
-    expect(recorded.silent.areFormerLeasesOver('a')).to.equal(false)
+    expect(recorded.silent.havePreviousLeasesExpired('a')).to.equal(false)
     recorded.store.isDown = false
     await followed
-    expect(recorded.silent.areFormerLeasesOver('a')).to.equal(true)
+    expect(recorded.silent.havePreviousLeasesExpired('a')).to.equal(true)
   })
 })
--- a/packages/scheduler/src/test/WorkerLink.test.ts
+++ b/packages/scheduler/src/test/WorkerLink.test.ts
@@ -41,19 +41,19 @@
       clock: systemClock,
       fencingToken: 1,
       leaseMs: 6500,
-      mayOrder: () => true,
-      isNotedSilent: () => this.isNoted,
-      clearSilence: () => this.onClear(),
+      holdsDuty: () => true,
+      isRecordedSilent: () => this.isNoted,
+      removeSilentRecord: () => this.onClear(),
       onReport: () => {},
       onStarted: () => {},
       onNotStarted: () => {},
       ensureDurable: () => new Promise(() => {}),
-      onInstanceOver: () => {},
+      onLifetimeEnded: () => {},
       onFencedOff: () => {},
-      onContact: () => {},
+      onContactChange: () => {},
       holdWaitMs: () => HOLD_WAIT_MS
     })
-    void this.link.run()
+    void this.link.keepPolling()
   }
 
   get leasesGiven (): number {
