--- a/packages/scheduler/src/test/SilentWorkers.test.ts
+++ b/packages/scheduler/src/test/SilentWorkers.test.ts
@@ -7,18 +7,18 @@
 import { FaultyStore, TestLog } from './TestService.js'
 
 const TOKEN = 7
-const LEFT_MS = 300
+const LEASES_LEFT_MS = 300
 const LEASE_MS = 800
 
 const RECORD = { key: silentWorkersKey('s'), value: JSON.stringify({ fencingToken: 5, leaseMs: 6500, workers: [{ instanceId: 'a', timer: '5-1' }] }), modRevision: 1 }
 
-/** A record with writes that the test makes durable itself. */
-class Recorded {
+/** Wraps SilentWorkers so that the test decides when writes become durable. */
+class SilentWorkersFixture {
   readonly store = new FaultyStore()
   readonly log = new TestLog()
-  #leasesEndMs = systemClock.monotonicMs() + LEFT_MS
+  #leasesEndMs = systemClock.monotonicMs() + LEASES_LEFT_MS
   record: string | undefined
-  timersOver = 0
+  expiredTimers = 0
   readonly #flushes: Array<(isDurable: boolean) => void> = []
   readonly silent = new SilentWorkers({
     service: 's',
@@ -33,15 +33,15 @@
     put: (_key, source) => { this.record = source() },
     flushed: () => new Promise((resolve) => { this.#flushes.push(resolve) }),
     isTracked: () => true,
-    onTimerExpired: () => { this.timersOver++ }
+    onTimerExpired: () => { this.expiredTimers++ }
   })
 
-  /** Leases last so long from now. */
+  /** Extends the leases to end after the given time from now. */
   extendLeases (leftMs: number): void {
     this.#leasesEndMs = systemClock.monotonicMs() + leftMs
   }
 
-  /** The oldest write that is waited for, now or soon, takes effect, or never will. */
+  /** Waits for the oldest pending flush and resolves it as durable or as failed. */
   async settle (isDurable = true): Promise<void> {
     while (this.#flushes.length === 0) await delay(1)
     this.#flushes.shift()?.(isDurable)
@@ -55,98 +55,98 @@
 
 describe('SilentWorkers', () => {
   for (const writeDelayMs of [0, 10]) {
-    it(`writes several workers with one timer, which lasts as long as their leases may, where a write takes ${writeDelayMs} ms`, async () => {
-      const recorded = new Recorded()
-      recorded.store.writeDelayMs = () => writeDelayMs
-      void recorded.silent.recordSilent(['a', 'b'])
-      await recorded.settle()
-      expect(JSON.parse(recorded.record ?? '')).to.deep.equal({
+    it(`records several workers with one timer that lasts as long as their leases may, when a write takes ${writeDelayMs} ms`, async () => {
+      const fixture = new SilentWorkersFixture()
+      fixture.store.writeDelayMs = () => writeDelayMs
+      void fixture.silent.recordSilent(['a', 'b'])
+      await fixture.settle()
+      expect(JSON.parse(fixture.record ?? '')).to.deep.equal({
         fencingToken: TOKEN, leaseMs: LEASE_MS, workers: [{ instanceId: 'a', timer: '7-1' }, { instanceId: 'b', timer: '7-1' }]
       })
-      expect(await recorded.timers()).to.deep.equal([leaseTimerKey('s', '7-1')])
-      await delay(LEFT_MS + 50)
-      expect(await recorded.timers()).to.deep.equal([])
+      expect(await fixture.timers()).to.deep.equal([leaseTimerKey('s', '7-1')])
+      await delay(LEASES_LEFT_MS + 50)
+      expect(await fixture.timers()).to.deep.equal([])
     })
   }
 
-  it('does not write down a worker that was given a lease while its timer was made', async () => {
-    const recorded = new Recorded()
-    recorded.store.writeDelayMs = () => 60
-    const noted = recorded.silent.recordSilent(['a'])
+  it('does not record a worker that was granted a lease while its timer was being created', async () => {
+    const fixture = new SilentWorkersFixture()
+    fixture.store.writeDelayMs = () => 60
+    const recording = fixture.silent.recordSilent(['a'])
     await delay(30)
-    recorded.extendLeases(LEFT_MS + 200)
-    await noted
-    expect([recorded.record, recorded.silent.isRecorded('a')]).to.deep.equal([undefined, false])
+    fixture.extendLeases(LEASES_LEFT_MS + 200)
+    await recording
+    expect([fixture.record, fixture.silent.isRecorded('a')]).to.deep.equal([undefined, false])
   })
 
-  it('keeps a worker noted that was written down anew while its removal was under way', async () => {
-    const recorded = new Recorded()
-    const first = recorded.silent.recordSilent(['a'])
-    await recorded.settle()
+  it('keeps a worker recorded that was recorded again while its removal was pending', async () => {
+    const fixture = new SilentWorkersFixture()
+    const first = fixture.silent.recordSilent(['a'])
+    await fixture.settle()
     await first
-    const removals = [recorded.silent.remove('a'), recorded.silent.remove('a')]
-    await recorded.settle()
-    expect(recorded.silent.isRecorded('a')).to.equal(false)
-    const again = recorded.silent.recordSilent(['a'])
-    while (!recorded.silent.isRecorded('a')) await delay(1)
-    // The second removal, then the new entry.
-    await recorded.settle()
+    const removals = [fixture.silent.remove('a'), fixture.silent.remove('a')]
+    await fixture.settle()
+    expect(fixture.silent.isRecorded('a')).to.equal(false)
+    const again = fixture.silent.recordSilent(['a'])
+    while (!fixture.silent.isRecorded('a')) await delay(1)
+    // Resolves the second removal, then the new entry.
+    await fixture.settle()
     await removals[1]
-    expect(recorded.silent.isRecorded('a')).to.equal(true)
-    await recorded.settle()
+    expect(fixture.silent.isRecorded('a')).to.equal(true)
+    await fixture.settle()
     await again
-    expect(recorded.record).to.include('"7-2"')
-    expect(recorded.silent.isRecorded('a')).to.equal(true)
+    expect(fixture.record).to.include('"7-2"')
+    expect(fixture.silent.isRecorded('a')).to.equal(true)
   })
 
-  it('keeps a worker noted whose removal will never be durable', async () => {
-    const recorded = new Recorded()
-    void recorded.silent.recordSilent(['a'])
-    await recorded.settle()
-    void recorded.silent.remove('a')
-    await recorded.settle(false)
-    expect(recorded.silent.isRecorded('a')).to.equal(true)
+  it('keeps a worker recorded when its removal does not become durable', async () => {
+    const fixture = new SilentWorkersFixture()
+    void fixture.silent.recordSilent(['a'])
+    await fixture.settle()
+    void fixture.silent.remove('a')
+    await fixture.settle(false)
+    expect(fixture.silent.isRecorded('a')).to.equal(true)
   })
 
-  it('asks a store that refuses timers twice a second at most', async () => {
-    const recorded = new Recorded()
-    recorded.store.refusesWrites = true
+  it('sends at most two requests per second to a store that refuses timers', async () => {
+    const fixture = new SilentWorkersFixture()
+    fixture.store.refusesWrites = true
     for (let round = 0; round < 100; round++) {
-      await recorded.silent.recordSilent(['a'])
+      await fixture.silent.recordSilent(['a'])
       await delay(10)
     }
-    expect(recorded.log.lines.length).to.be.within(2, 4)
+    expect(fixture.log.lines.length).to.be.within(2, 4)
   })
 
   const writers = [
-    { name: 'by the holder that wrote last', formerToken: 5, isBelieved: true },
-    { name: 'before another holder wrote, which may not have looked at it', formerToken: 6, isBelieved: false }
+    { name: 'by the last holder that wrote anything', formerToken: 5, isBelieved: true },
+    { name: 'before another holder wrote, which may not have read it', formerToken: 6, isBelieved: false }
   ]
   for (const { name, formerToken, isBelieved } of writers) {
-    it(`${isBelieved ? 'believes' : 'does not believe'} a record that was written ${name}`, async () => {
-      const recorded = new Recorded()
-      recorded.silent.restore(RECORD, formerToken)
-      await recorded.silent.watchTimers(new AbortController().signal)
-      expect(recorded.silent.havePreviousLeasesExpired('a')).to.equal(isBelieved)
-      expect(recorded.silent.isRecorded('a')).to.equal(isBelieved)
-      expect(recorded.silent.previousLeaseMs).to.equal(isBelieved ? 6500 : undefined)
-      expect(recorded.record?.includes('5-1')).to.equal(isBelieved)
-      expect(recorded.timersOver).to.equal(isBelieved ? 1 : 0)
+    it(`${isBelieved ? 'uses' : 'ignores'} a record that was written ${name}`, async () => {
+      const fixture = new SilentWorkersFixture()
+      fixture.silent.restore(RECORD, formerToken)
+      await fixture.silent.watchTimers(new AbortController().signal)
+      expect(fixture.silent.havePreviousLeasesExpired('a')).to.equal(isBelieved)
+      expect(fixture.silent.isRecorded('a')).to.equal(isBelieved)
+      expect(fixture.silent.previousLeaseMs).to.equal(isBelieved ? 6500 : undefined)
+      expect(fixture.record?.includes('5-1')).to.equal(isBelieved)
+      expect(fixture.expiredTimers).to.equal(isBelieved ? 1 : 0)
     })
   }
 
-  it('waits for a timer that runs, and for a store that does not tell', async () => {
-    const recorded = new Recorded()
-    const lease = (await recorded.store.grantLease(300)).unwrap()
-    await recorded.store.transact({ conditions: [], puts: [{ key: leaseTimerKey('s', '5-1'), value: '', leaseId: lease }], removals: [] })
-    recorded.silent.restore(RECORD, 5)
-    const followed = recorded.silent.watchTimers(new AbortController().signal)
+  it('waits while a timer is running or the store is unavailable', async () => {
+    const fixture = new SilentWorkersFixture()
+    const lease = (await fixture.store.grantLease(300)).unwrap()
+    await fixture.store.transact({ conditions: [], puts: [{ key: leaseTimerKey('s', '5-1'), value: '', leaseId: lease }], removals: [] })
+    fixture.silent.restore(RECORD, 5)
+    const followed = fixture.silent.watchTimers(new AbortController().signal)
     await delay(100)
-    recorded.store.isDown = true
+    fixture.store.isDown = true
     await delay(500)
-    expect(recorded.silent.havePreviousLeasesExpired('a')).to.equal(false)
-    recorded.store.isDown = false
+    expect(fixture.silent.havePreviousLeasesExpired('a')).to.equal(false)
+    fixture.store.isDown = false
     await followed
-    expect(recorded.silent.havePreviousLeasesExpired('a')).to.equal(true)
+    expect(fixture.silent.havePreviousLeasesExpired('a')).to.equal(true)
   })
 })
--- a/packages/scheduler/src/test/WorkerLink.test.ts
+++ b/packages/scheduler/src/test/WorkerLink.test.ts
@@ -16,22 +16,22 @@
 }
 const HOLD_WAIT_MS = 1000
 
-/** A worker that answers each hold at once, or after its wait, with the ends that it has. */
-class AnsweringWorker {
+/** A fake worker: answers each hold at once if a run has ended, otherwise after the requested wait. */
+class FakeWorker {
   readonly holds: Array<HoldRequest & { readonly atMs: number }> = []
-  hasEnd = false
+  hasEndedRun = false
   isSilent = false
-  isNoted = false
-  onClear = (): Promise<void> => new Promise(() => {})
+  isRecorded = false
+  onRemoveRecord = (): Promise<void> => new Promise(() => {})
   readonly link: WorkerLink
 
   constructor () {
     const orders = {
       hold: async (_worker: WorkerInstance, request: HoldRequest) => {
         this.holds.push({ ...request, atMs: performance.now() })
-        await delay(this.hasEnd ? 5 : request.waitMs + 5)
+        await delay(this.hasEndedRun ? 5 : request.waitMs + 5)
         if (this.isSilent) return Err({ kind: 'unknown-effect', detail: 'no answer' })
-        const ended = this.hasEnd ? [{ taskKey: 't', runNumber: 1, sequence: 1, end: 'done' as const, checkpoint: '' }] : []
+        const ended = this.hasEndedRun ? [{ taskKey: 't', runNumber: 1, sequence: 1, end: 'done' as const, checkpoint: '' }] : []
         return Ok({ clockMs: performance.now(), running: [], ended, hasMoreEnds: false })
       },
       forget: () => {}
@@ -42,8 +42,8 @@
       fencingToken: 1,
       leaseMs: 6500,
       holdsDuty: () => true,
-      isRecordedSilent: () => this.isNoted,
-      removeSilentRecord: () => this.onClear(),
+      isRecordedSilent: () => this.isRecorded,
+      removeSilentRecord: () => this.onRemoveRecord(),
       onReport: () => {},
       onStarted: () => {},
       onNotStarted: () => {},
@@ -56,49 +56,49 @@
     void this.link.keepPolling()
   }
 
-  get leasesGiven (): number {
+  get leasesGranted (): number {
     return this.holds.filter(({ leaseEndsAtMs }) => leaseEndsAtMs !== undefined).length
   }
 }
 
 describe('WorkerLink', () => {
-  let worker: AnsweringWorker
+  let worker: FakeWorker
   afterEach(() => worker.link.close())
 
-  it('goes on asking a worker whose ends wait for the store while it may not be given a lease', async () => {
-    worker = new AnsweringWorker()
-    worker.isNoted = worker.hasEnd = true
+  it('keeps polling a worker whose reported ends are not yet durable while leases may not be extended', async () => {
+    worker = new FakeWorker()
+    worker.isRecorded = worker.hasEndedRun = true
     await delay(3200)
     expect(worker.holds.length).to.be.within(4, 20)
     expect(worker.link.isAnswering(performance.now())).to.equal(true)
-    expect(worker.leasesGiven).to.equal(0)
+    expect(worker.leasesGranted).to.equal(0)
   })
 
-  it('gives a lease as soon as it may, also where that took long', async () => {
-    worker = new AnsweringWorker()
-    worker.isNoted = true
-    let clearedMs = Infinity
-    worker.onClear = async () => {
+  it('grants a lease as soon as the silence record is removed, even if the removal took long', async () => {
+    worker = new FakeWorker()
+    worker.isRecorded = true
+    let removedMs = Infinity
+    worker.onRemoveRecord = async () => {
       await delay(550)
-      worker.isNoted = false
-      clearedMs = performance.now()
+      worker.isRecorded = false
+      removedMs = performance.now()
     }
     await delay(1500)
     const first = worker.holds.find(({ leaseEndsAtMs }) => leaseEndsAtMs !== undefined)
-    expect((first?.atMs ?? Infinity) - clearedMs).to.be.below(400)
+    expect((first?.atMs ?? Infinity) - removedMs).to.be.below(400)
   })
 
-  it('does not ask without a pause where the record will never be changed', async () => {
-    worker = new AnsweringWorker()
-    worker.isNoted = true
-    worker.onClear = () => Promise.resolve()
+  it('polls with pauses when the silence record is never removed', async () => {
+    worker = new FakeWorker()
+    worker.isRecorded = true
+    worker.onRemoveRecord = () => Promise.resolve()
     await delay(1000)
     expect(worker.holds.length).to.be.within(3, 15)
   })
 
-  it('gives no leases into the void while ends wait for the store', async () => {
-    worker = new AnsweringWorker()
-    worker.hasEnd = true
+  it('extends no leases of a worker that stops answering while reported ends are not yet durable', async () => {
+    worker = new FakeWorker()
+    worker.hasEndedRun = true
     await delay(700)
     worker.isSilent = true
     await delay(3500)
--- a/packages/scheduler/src/test/fleetRestarts.test.ts
+++ b/packages/scheduler/src/test/fleetRestarts.test.ts
@@ -6,17 +6,17 @@
 import { PARKED_POOL, FakeMachineControl } from './FakeMachineControl.js'
 import { SERVICE, TestService, type Tenure } from './TestService.js'
 
-/** Leases of 4.8 s: a task that waits for one shows. */
+/** Results in leases of 4.8 s, so that a task that waits for one exceeds MAX_AWAY_MS. */
 const MAX_LEASE_MS = 6000
 const DOWN_MS = 300
-/** Without power, until a round of a new holder, and for a stop that has to be repeated; far below a lease. */
-const MOST_AWAY_MS = DOWN_MS + 2500
+/** The power loss, the first round of the new holder and a repeated stop; well below a lease. */
+const MAX_AWAY_MS = DOWN_MS + 2500
 const TASKS = 3
 const WAVE: WaveRequest = { wave: 1, machineIds: ['m0', 'm1'], deadlineMs: 20_000, maxAtOnce: 1 }
 
 type AsyncMethod = (...args: never[]) => Promise<unknown>
 
-/** A service and its machines, whose holders all lose power at one step: a write, an order to a worker, or an order for a machine. */
+/** A service and its machines. All holders lose power at one step: a write, an order to a worker, or an order for a machine. */
 class RestartedFleet {
   readonly service = new TestService(3)
   readonly machines = new FakeMachineControl(this.service, 3, 1)
@@ -27,7 +27,11 @@
   #duty: MachineDuty | undefined
   readonly #clock = setInterval(() => { for (const worker of this.service.runs.workers.values()) worker.step() }, 5)
 
-  /** @param fatalStep - at which power is lost, from 0 @param isDoneFirst - whether the step still takes effect @param whileOff - what happens meanwhile */
+  /**
+   * @param fatalStep - number of the step at which power is lost, from 0
+   * @param isDoneFirst - whether the step still takes effect
+   * @param whileOff - called during the outage
+   */
   constructor (readonly fatalStep: number, readonly isDoneFirst: boolean, readonly whileOff: (fleet: RestartedFleet) => void = () => {}) {
     const { service, machines } = this
     service.maxLeaseMs = MAX_LEASE_MS
@@ -39,7 +43,7 @@
     this.#watch(machines, 'upkeep')
   }
 
-  /** Calls of holders that lost power meanwhile are never answered. */
+  /** Wraps a method to count steps and lose power at the fatal one. Calls of holders that lost power never return. */
   #watch<K extends string> (target: Record<K, AsyncMethod>, name: K): void {
     const method = target[name].bind(target)
     target[name] = async (...args: never[]) => {
@@ -95,17 +99,17 @@
     this.#tenure = await service.takeOver()
   }
 
-  async play (): Promise<void> {
+  async runToEnd (): Promise<void> {
     const { service } = this
     await this.start()
     const name = `${this.fatalStep} ${this.isDoneFirst}`
-    await service.until(`the wave is done: ${name}`, async () => (await service.store.get('status/1')).unwrap()?.value === 'true', 20_000)
+    await service.until(`the wave is done, step ${name}`, async () => (await service.store.get('status/1')).unwrap()?.value === 'true', 20_000)
     const running = (): number => service.runs.records.filter(({ endedMs }) => endedMs === undefined).length
-    await service.until(`all run: ${name}`, () => running() === TASKS)
+    await service.until(`all tasks run, step ${name}`, () => running() === TASKS)
   }
 
-  /** The longest that a task was away between two of its runs. */
-  get mostAwayMs (): number {
+  /** Longest gap between two runs of a task. */
+  get longestGapMs (): number {
     const { records } = this.service.runs
     const gaps = records.flatMap((record) => {
       const later = records.filter(({ taskKey, runNumber }) => taskKey === record.taskKey && runNumber > record.runNumber)
@@ -125,10 +129,10 @@
 const never = (): Promise<never> => new Promise(() => {})
 
 describe('a restart of the whole fleet', () => {
-  const MOST_STEPS = 60
-  const AT_ONCE = 200
+  const MAX_STEPS = 60
+  const BATCH_SIZE = 200
 
-  /** The worker that began a task last, and its machine, lose power too. @param powerlessMs - for how long */
+  /** Cuts the power of the machine whose worker started a task last. @param powerlessMs - duration of the outage */
   function failNewest (powerlessMs: number, { service, machines }: RestartedFleet): void {
     const newest = service.runs.records.filter(({ endedMs }) => endedMs === undefined).sort((a, b) => b.startedMs - a.startedMs)[0]
     const machineId = newest === undefined ? undefined : service.runs.workers.get(newest.instanceId)?.instance.machineId
@@ -139,20 +143,20 @@
 
   const cases = [
     { name: 'nothing else happens', whileOff: () => {} },
-    { name: 'the worker that began a task last loses power for longer', whileOff: (fleet: RestartedFleet) => failNewest(3000, fleet) },
-    { name: 'the worker that began a task last loses power for a shorter time', whileOff: (fleet: RestartedFleet) => failNewest(DOWN_MS / 2, fleet) }
+    { name: 'the worker that started a task last loses power for longer', whileOff: (fleet: RestartedFleet) => failNewest(3000, fleet) },
+    { name: 'the worker that started a task last loses power for a shorter time', whileOff: (fleet: RestartedFleet) => failNewest(DOWN_MS / 2, fleet) }
   ]
   for (const { name, whileOff } of cases) {
-    it(`at any step of a placement, a stop or a move of lasting tasks leaves none of them away for a lease, and runs none twice: ${name}`, async () => {
-      const dry = new RestartedFleet(-1, false)
-      await dry.play()
-      const steps = Math.min(MOST_STEPS, dry.steps)
-      dry.close()
+    it(`at any step of a placement, stop or move interrupts no long-running task for as long as a lease, and runs none twice: ${name}`, async () => {
+      const reference = new RestartedFleet(-1, false)
+      await reference.runToEnd()
+      const steps = Math.min(MAX_STEPS, reference.steps)
+      reference.close()
       const fleets = Array.from({ length: steps }, (_, step) => [new RestartedFleet(step, false, whileOff), new RestartedFleet(step, true, whileOff)]).flat()
       try {
-        for (let from = 0; from < fleets.length; from += AT_ONCE) await Promise.all(fleets.slice(from, from + AT_ONCE).map((fleet) => fleet.play()))
-        const late = fleets.filter(({ mostAwayMs }) => mostAwayMs > MOST_AWAY_MS)
-        expect(late.map(({ fatalStep, isDoneFirst, mostAwayMs }) => `step ${fatalStep} ${isDoneFirst ? 'done' : 'not done'}: ${mostAwayMs.toFixed(0)} ms`)).to.deep.equal([])
+        for (let from = 0; from < fleets.length; from += BATCH_SIZE) await Promise.all(fleets.slice(from, from + BATCH_SIZE).map((fleet) => fleet.runToEnd()))
+        const late = fleets.filter(({ longestGapMs }) => longestGapMs > MAX_AWAY_MS)
+        expect(late.map(({ fatalStep, isDoneFirst, longestGapMs }) => `step ${fatalStep} ${isDoneFirst ? 'done' : 'not done'}: ${longestGapMs.toFixed(0)} ms`)).to.deep.equal([])
         expect(fleets.flatMap(({ service }) => service.duplicatedTasks)).to.deep.equal([])
       } finally {
         for (const fleet of fleets) fleet.close()
--- a/packages/scheduler/src/test/takeOvers.test.ts
+++ b/packages/scheduler/src/test/takeOvers.test.ts
@@ -6,20 +6,20 @@
 import { silentWorkersKey } from '../lib/records/storeKeys.js'
 import { SERVICE, testJobId, TestService, type Tenure } from './TestService.js'
 
-/** Leases of 6.5 s, as at the users' sites. */
+/** Results in leases of 6.5 s, as in production. */
 const MAX_LEASE_MS = 10_000
-/** Those leases on a clock that runs 2 % slow, 20 ms for a stop and 300 ms for late timers: the whole wait of one holder. */
-const WHOLE_WAIT_MS = 6500 / 0.98 + 20 + 300
-/** Leases of 1.6 s, and the whole wait of one holder with these. */
+/** The wait of a single holder: such a lease on a clock that runs 2 % slow, 20 ms for a stop and 300 ms for late timers. */
+const SINGLE_WAIT_MS = 6500 / 0.98 + 20 + 300
+/** Results in leases of 1.6 s; the wait of a single holder with these follows. */
 const SHORT_MAX_LEASE_MS = 2000
 const SHORT_WAIT_MS = 1600 / 0.98 + 20 + 300
-/** Until a new holder may be sure that a worker does not answer, between two looks at a timer, and for rounds and commits. */
+/** Time for a new holder to find that a worker does not answer, a polling interval of the timers, and scheduling rounds and commits. */
 const ALLOWANCE_MS = 1300
 const FLUSH_MS = 600
 
-interface Ending { readonly how: string, readonly end: (tenure: Tenure) => Promise<void> }
+interface TenureEnd { readonly how: string, readonly end: (tenure: Tenure) => Promise<void> }
 
-const endings: readonly Ending[] = [
+const endings: readonly TenureEnd[] = [
   {
     how: 'is stopped as planned',
     end: async ({ scheduler }) => {
@@ -34,7 +34,7 @@
   let service: TestService
   afterEach(() => service.close())
 
-  /** Starts a lasting task, and silences its worker. */
+  /** Starts a long-running task and silences its worker. */
   async function loseWorker (otherTasks = 0): Promise<{ readonly tenure: Tenure, readonly worker: StandInWorker, readonly lostMs: number }> {
     service = new TestService(1)
     service.maxLeaseMs = MAX_LEASE_MS
@@ -51,8 +51,8 @@
     return { tenure, worker, lostMs: performance.now() }
   }
 
-  /** Lets time pass for a worker that nobody calls. */
-  async function pass (worker: StandInWorker, forMs: number): Promise<void> {
+  /** Advances a worker that receives no calls. */
+  async function advance (worker: StandInWorker, forMs: number): Promise<void> {
     const untilMs = performance.now() + forMs
     while (performance.now() < untilMs) {
       worker.step()
@@ -64,7 +64,7 @@
     { ending, takeOvers: 1, tenureMs: 1300 }, { ending, takeOvers: 5, tenureMs: 1300 }, { ending, takeOvers: 6, tenureMs: 1000 }
   ])
   for (const { ending: { how, end }, takeOvers, tenureMs } of series) {
-    it(`does not lengthen the wait for a lost run: ${takeOvers} times the holder ${how}, each ${tenureMs} ms`, async () => {
+    it(`does not prolong the wait for a lost run: the holder ${how} ${takeOvers} times, after ${tenureMs} ms each`, async () => {
       const lost = await loseWorker()
       let tenure = lost.tenure
       const isBack = (): boolean => service.runs.records.length === 2
@@ -78,11 +78,11 @@
       lost.worker.step()
       expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
       const again = service.runs.records.find(({ runNumber }) => runNumber === 2)
-      expect((again?.startedMs ?? Infinity) - lost.lostMs).to.be.below(WHOLE_WAIT_MS + ALLOWANCE_MS)
+      expect((again?.startedMs ?? Infinity) - lost.lostMs).to.be.below(SINGLE_WAIT_MS + ALLOWANCE_MS)
     }).timeout(30_000)
   }
 
-  it('waits no longer than leases were, also where the first holder had a longer one in mind', async () => {
+  it('waits no longer than the granted leases, even if the first holder allowed for longer ones', async () => {
     service = new TestService(1)
     service.maxLeaseMs = SHORT_MAX_LEASE_MS
     const tenure = await service.takeOver()
@@ -102,18 +102,18 @@
     expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
   }).timeout(30_000)
 
-  it('does not take a run for lost whose worker answered in between', async () => {
+  it('does not treat a run as lost whose worker answered in between', async () => {
     const { tenure, worker } = await loseWorker()
-    // A hold that was under way is still answered.
+    // A pending hold is still answered.
     await delay(2600)
     await endings[0]?.end(tenure)
     expect((await service.store.get(silentWorkersKey(SERVICE))).unwrap()?.value).to.include(worker.instance.instanceId)
     const next = await service.takeOver()
     worker.faults.isSilent = false
     service.list(worker.instance)
-    await service.until('it is taken out of the record', async () => (await service.store.get(silentWorkersKey(SERVICE))).unwrap()?.value.includes('"workers":[]') === true)
-    // The timer of the first silence is over, and the lease is extended up to here.
-    await delay(WHOLE_WAIT_MS)
+    await service.until('the worker is removed from the record', async () => (await service.store.get(silentWorkersKey(SERVICE))).unwrap()?.value.includes('"workers":[]') === true)
+    // The timer of the first silence has expired, and the lease has been extended until now.
+    await delay(SINGLE_WAIT_MS)
     expect(worker.active.size).to.equal(1)
     worker.faults.isSilent = true
     next.scheduler.close()
@@ -123,7 +123,7 @@
     expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
   }).timeout(30_000)
 
-  it('waits for leases of a former holder, though the worker answered this one before it could give any', async () => {
+  it('waits for leases of a previous holder if the worker answered the new one before it could grant any', async () => {
     const { tenure, worker } = await loseWorker()
     await delay(2300)
     await endings[0]?.end(tenure)
@@ -132,17 +132,17 @@
     const before = service.log.lines.length
     await service.takeOver()
     service.store.refusesWrites = true
-    await service.until('it is met', () => service.log.lines.slice(before).some((line) => line.startsWith('worker met') && line.includes(worker.instance.instanceId)))
+    await service.until('the worker is connected', () => service.log.lines.slice(before).some((line) => line.startsWith('worker met') && line.includes(worker.instance.instanceId)))
     await delay(50)
     worker.faults.isSilent = true
     await delay(800)
     service.store.refusesWrites = false
-    await pass(worker, 7000)
+    await advance(worker, 7000)
     expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
   }).timeout(30_000)
 
-  it('a worker with ends to acknowledge goes on being asked while it may not be given a lease', async () => {
-    // While it is silent a run ends there, which nobody has acknowledged.
+  it('keeps polling a worker with unacknowledged ends while leases may not be extended', async () => {
+    // A run ends there while the worker is silent, so its end is unacknowledged.
     const { tenure, worker } = await loseWorker(1)
     await delay(2300)
     await endings[0]?.end(tenure)
@@ -150,14 +150,14 @@
     service.list(worker.instance)
     await service.takeOver()
     service.store.refusesWrites = true
-    await pass(worker, 3000)
+    await advance(worker, 3000)
     service.store.refusesWrites = false
-    await pass(worker, 4000)
+    await advance(worker, 4000)
     expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
     expect(worker.records.filter(({ taskKey, end }) => taskKey.startsWith('0000000000000001') && end !== undefined)).to.deep.equal([])
   }).timeout(30_000)
 
-  it('does not count a lease by a timer that was made before it was given', async () => {
+  it('does not rely on a timer that was created before the lease was granted', async () => {
     const { tenure, worker } = await loseWorker()
     await delay(1200)
     tenure.scheduler.close()
@@ -171,45 +171,45 @@
     await delay(50)
     next.scheduler.close()
     await service.takeOver()
-    await pass(worker, 9500)
+    await advance(worker, 9500)
     expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
   }).timeout(30_000)
 
-  it('gives no lease to a worker that may stand in the record', async () => {
+  it('grants no lease to a worker that may be recorded as silent', async () => {
     const { tenure, worker } = await loseWorker()
-    // Its registration stays: a lasting task would leave a worker that comes back without one.
+    // The registration stays, because a long-running task would be moved off a worker that comes back without one.
     service.list(worker.instance)
-    await pass(worker, 3900)
+    await advance(worker, 3900)
     service.store.refusesWrites = true
     worker.faults.isSilent = false
-    await pass(worker, 1500)
+    await advance(worker, 1500)
     worker.faults.isSilent = true
-    await pass(worker, 2800)
+    await advance(worker, 2800)
     tenure.scheduler.close()
     service.store.refusesWrites = false
     await service.takeOver()
-    await pass(worker, 3000)
+    await advance(worker, 3000)
     expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
   }).timeout(30_000)
 
   const changes = [
     { name: 'before a take-over', change: async () => { service.maxLeaseMs = 2000 }, then: async () => {} },
-    { name: 'after it', change: async () => {}, then: async () => { service.maxLeaseMs = 2000 } }
+    { name: 'after a take-over', change: async () => {}, then: async () => { service.maxLeaseMs = 2000 } }
   ]
   for (const { name, change, then } of changes) {
-    it(`waits as long as leases were when they were given, though the settings name shorter ones since: ${name}`, async () => {
+    it(`waits for the lease duration at the time of the grant, even if the settings are shortened ${name}`, async () => {
       const { tenure, worker } = await loseWorker()
       tenure.scheduler.close()
       await change()
       await service.takeOver()
       await then()
-      await pass(worker, 8000)
+      await advance(worker, 8000)
       expect(service.runs.records).to.have.length(2)
       expect(service.duplicatedTasks, service.log.lines.join('\n')).to.deep.equal([])
     }).timeout(30_000)
   }
 
-  it('writes nobody down that was not asked yet', async () => {
+  it('records no worker that has not been polled yet', async () => {
     const { tenure, worker } = await loseWorker()
     worker.faults.isSilent = false
     service.list(worker.instance)
@@ -221,7 +221,7 @@
     expect((await service.store.get(silentWorkersKey(SERVICE))).unwrap()?.value).to.include('"workers":[]')
   }).timeout(30_000)
 
-  it('a stop that was written down is handed on by each holder', () => {
+  it('preserves a recorded stop across holders', () => {
     const spec = jobSpecSchema.parse({ jobId: testJobId(1), queue: 'q', command: '', submittedMs: 1, steps: [{ taskCount: 1, cpuMillis: 1, isLasting: true, maxAway: 0 }] })
     const run = { runNumber: 1, instanceId: 'w', isStopping: true }
     const first = { status: 'running' as const, tasks: [{ key: `${spec.jobId}.0.0.0`, lastRunNumber: 1, runs: [run] }] }
@@ -230,8 +230,8 @@
     expect(decodeProgress(encodeProgress(second)).unwrap().tasks[0]?.runs).to.deep.equal([run])
   })
 
-  it('neither doubles nor forgets lasting tasks, whichever workers fall silent meanwhile', async () => {
-    const series = SEEDS.map((seed) => new Series(seed))
+  it('neither duplicates nor loses long-running tasks, whichever workers become silent', async () => {
+    const series = SEEDS.map((seed) => new TakeOverFuzz(seed))
     service = new TestService(0)
     try {
       await Promise.all(series.map((each) => each.play()))
@@ -245,7 +245,7 @@
 const SEEDS = process.env.FUZZ_SEED === undefined ? [21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32] : [Number(process.env.FUZZ_SEED)]
 const WORKERS = 4
 const TASKS = 6
-/** Leases of 4.8 s: several silences and take-overs come while one may be alive. */
+/** Results in leases of 4.8 s, so that several silences and take-overs occur while a lease is active. */
 const SERIES_MAX_LEASE_MS = 6000
 const SERIES_MS = 20_000
 const MEAN_GAP_MS = 250
@@ -254,8 +254,8 @@
 const ORDERS_PAUSE_MS = 1500
 const MOST_JOBS = 12
 
-/** One service under take-overs in quick succession, planned and not, while workers fall silent for a while and the store loses answers. */
-class Series {
+/** Exposes one service to frequent planned and unplanned take-overs while workers become silent and the store loses answers. */
+class TakeOverFuzz {
   readonly service = new TestService(WORKERS)
   readonly #random: SeededRandom
   readonly #workers = [...this.service.runs.workers.values()]
@@ -300,7 +300,7 @@
     Object.assign(this.service.store, { refusesWrites: false, loseAnswers: () => false, writeDelayMs: () => 0 })
   }
 
-  /** The holder's grant pauses, as when its renewals get no answers. */
+  /** Suspends the holder's duty, as when its renewals get no answers. */
   #pauseOrders (): void {
     const tenure = this.service.tenures.at(-1)
     if (tenure === undefined) return
@@ -321,9 +321,9 @@
 
   async #takeOver (): Promise<void> {
     const tenure = this.service.tenures.at(-1)
-    // Some are not told, and go on until they find out.
-    const isTold = this.#random.next() < 0.8
-    if (tenure !== undefined && isTold) await this.#random.pick(endings).end(tenure)
+    // Some holders are not stopped and continue until they notice the take-over.
+    const isStopped = this.#random.next() < 0.8
+    if (tenure !== undefined && isStopped) await this.#random.pick(endings).end(tenure)
     if (tenure !== undefined) tenure.holdsDuty = false
     await this.service.takeOver()
   }
