--- a/packages/scheduler/src/lib/duties/DutyElector.ts
+++ b/packages/scheduler/src/lib/duties/DutyElector.ts
@@ -1,8 +1,9 @@
 /**
- * Takes duties on this host: the scheduling of services and the upkeep of machines, each by one host at a time.
+ * Elects one host for each duty. A duty is a role that exactly one host fills at a time under a lease of the store: scheduling one
+ * service, or the maintenance of machines.
  *
- * There is no assignment: whoever sees a duty vacant tries to take it, later the more duties it has already and the smaller
- * the host is, so that duties spread over the hosts.
+ * There is no central assignment. Every host that sees a vacant duty tries to acquire its lease. The more duties a host already holds
+ * and the smaller its capacity, the longer it waits first, so that duties spread over the hosts.
  *
  * @module
  */
@@ -16,131 +17,142 @@
 import type { EventLog } from './EventLog.js'
 import { DUTY_PREFIX, hostKey, HOSTS_PREFIX } from '../records/storeKeys.js'
 
-/** What does a duty while it is held. @public */
-export interface DutyRunner {
-  /** Works until closed. */
+/** Does the work of a duty while this host holds it. @public */
+export interface DutyTask {
+  /** Works until {@link DutyTask.close} is called. A rejection makes the host give the duty up. */
   run(): Promise<void>
-  /** Stops at once. */
+  /** Stops immediately. */
   close(): void
-  /** Writes what is known, for a planned hand-over. */
+  /** Writes pending records to the store before a planned handover. */
   flush(timeoutMs: number): Promise<void>
 }
 
-/** What a task is given. @public */
+/** The right to do a duty, passed to the task that does it. @public */
 export interface DutyGrant {
   readonly dutyKey: string
   readonly fencingToken: number
-  /** Whether the duty is held at this moment; to be asked right before each act. */
+  /** Tells whether this host holds the duty at this moment; must be checked right before each action. */
   readonly holdsDuty: () => boolean
-  /** To be called when another holder was seen. */
+  /** Must be called when the task learns that another host holds the duty. */
   readonly onDeposed: () => void
 }
 
-/** What the roster works with. @public */
+/** Options of {@link DutyElector}. @public */
 export interface DutyElectorOptions {
   readonly hostName: string
-  /** How much this host can bear, in cores; compared with the others'. */
+  /** The capacity of this host in cores, compared with that of the other hosts. */
   readonly capacityCores: number
   readonly store: KeyValueStore
   readonly clock: Clock
   readonly log: EventLog
   readonly records: RecordReader
   readonly ttlMs: number
-  /** A number from 0 to 1, fresh at each call. */
+  /** Returns a random number from 0 to 1. */
   readonly random: () => number
 }
 
-/** What hosts said of their power is read again after this; it changes only when hosts of other kinds come. */
-const HOSTS_VALID_MS = 20_000
-/** At the first start of a fleet, all say how strong they are before any takes a duty. When it starts again, that is known: duties are taken so much sooner. */
-const START_PAUSE_MS = 300
-/** A host that was deposed lets others try first. */
-const DEPOSED_PAUSE_MS = 1000
-/** A try takes two calls of the store: so long the duty counts as this host's. */
-const TRY_MS = 250
-/** For what is not written yet at a planned stop. */
-const FLUSH_MS = 600
-
-/** In cores. */
-const powerSchema = z.number().positive()
-
-/** A duty without a holder, since this host saw that, and its luck in competing for it. */
+/** How long the published capacities of the hosts are cached: they change only when hosts of another size join. */
+const CAPACITY_REFRESH_MS = 20_000
+/**
+ * Delay at the first start of a fleet, so that all hosts publish their capacity before any of them takes a duty. A host that restarts with the same
+ * capacity skips it.
+ */
+const FIRST_START_DELAY_MS = 300
+/** How long a deposed host leaves the duty to the other hosts. */
+const DEPOSED_BACKOFF_MS = 1000
+/** An attempt takes two calls to the store. During this time the duty already counts as held by this host. */
+const ATTEMPT_MS = 250
+/** Limit for writing pending records at a planned stop. */
+const FLUSH_TIMEOUT_MS = 600
+
+/** The capacity of a host in cores, as published in the store. */
+const capacitySchema = z.number().positive()
+
+/** A duty without a holder: when this host noticed it, and the random part of the host's wait. */
 interface Vacancy { readonly sinceMs: number, readonly random: number }
 
-interface Duty { readonly holder: LeaseHolder, readonly stop: AbortController, readonly done: Promise<void>, task: DutyRunner | undefined }
+/** This host's participation in the election for one duty; `task` is set while this host holds the duty. */
+interface Candidacy { readonly holder: LeaseHolder, readonly stop: AbortController, readonly done: Promise<void>, task: DutyTask | undefined }
 
-/** The roster. @public */
+/** Takes part in the elections for duties on behalf of this host, and runs the tasks of those that it wins. @public */
 export class DutyElector {
   readonly #options: DutyElectorOptions
-  readonly #replica: PrefixReplica
-  readonly #duties = new Map<string, Duty>()
+  readonly #dutyReplica: PrefixReplica
+  readonly #candidacies = new Map<string, Candidacy>()
   readonly #vacancies = new Map<string, Vacancy>()
-  /** Duties that this host was deposed from wait until then. */
-  readonly #notBeforeMs = new Map<string, number>()
+  /** By key of a duty that this host was deposed from: the earliest time of its next attempt. */
+  readonly #earliestRetryMs = new Map<string, number>()
   readonly #stop = new AbortController()
-  #triedMs = -Infinity
-  #triedKey = ''
-  #powersReadMs = -Infinity
-  /** Until then a weak host would not know that it is one, and take what strong hosts are about to. */
-  #hasAskedPowers = false
-  #mostPower = 0
-
-  /** @param options - what it works with */
+  #lastAttemptMs = -Infinity
+  #lastAttemptKey = ''
+  #capacitiesReadMs = -Infinity
+  /** No duty is taken before the other hosts' capacities are queried: a small host that doesn't know them would take duties ahead of large hosts. */
+  #hasQueriedCapacities = false
+  #maxCapacityCores = 0
+
+  /** @param options - the identity of the host and its access to the store */
   constructor (options: DutyElectorOptions) {
     this.#options = options
     const { store, clock, log } = options
-    this.#replica = createReplica(log, {
-      store, clock, prefix: DUTY_PREFIX, onChange: () => { void this.#learnPowers().then(() => this.#lookForVacancies()) }
+    this.#dutyReplica = createReplica(log, {
+      store, clock, prefix: DUTY_PREFIX, onChange: () => { void this.#refreshCapacities().then(() => this.#scheduleAttempts()) }
     })
   }
 
-  /** How many duties this host has. */
+  /** Number of duties that this host holds. */
   get heldCount (): number {
-    return [...this.#duties.values()].filter(({ task }) => task !== undefined).length
+    return [...this.#candidacies.values()].filter(({ task }) => task !== undefined).length
   }
 
-  /** Follows who holds which duty, until stopped. */
+  /** Watches the holders of all duties until stopped. */
   async run (): Promise<void> {
-    const isKnown = await this.#sayPower()
-    if (!isKnown) await delay(START_PAUSE_MS, this.#stop.signal)
-    await this.#replica.run(this.#stop.signal)
+    const isAlreadyPublished = await this.#publishCapacity()
+    if (!isAlreadyPublished) await delay(FIRST_START_DELAY_MS, this.#stop.signal)
+    await this.#dutyReplica.run(this.#stop.signal)
   }
 
-  /** @returns whether this host was there before, as strong as now: then the others are known too, and nothing is to be waited for */
-  async #sayPower (): Promise<boolean> {
-    const { hostName, capacityCores: power, store, log } = this.#options
+  /**
+   * Publishes the capacity of this host.
+   *
+   * @returns whether the same capacity was already published by an earlier start; then the other hosts' are published as well, and the
+   *   first-start delay is not needed
+   */
+  async #publishCapacity (): Promise<boolean> {
+    const { hostName, capacityCores, store, log } = this.#options
     const key = hostKey(hostName)
-    const value = String(power)
-    const before = await store.get(key)
-    if (before.ok && before.val?.value === value) return true
-    const said = await store.transact({ conditions: [], puts: [{ key, value }], removals: [] })
-    if (said.err) log.warn({ error: said.val }, 'other hosts do not know how strong this one is')
+    const value = String(capacityCores)
+    const previous = await store.get(key)
+    if (previous.ok && previous.val?.value === value) return true
+    const writeResult = await store.transact({ conditions: [], puts: [{ key, value }], removals: [] })
+    if (writeResult.err) log.warn({ error: writeResult.val }, 'host capacity not published')
     return false
   }
 
-  /** Hosts that left are counted too: at worst a duty is taken a little later. */
-  async #learnPowers (): Promise<void> {
-    const { store, clock, log, capacityCores: power, records } = this.#options
+  /** Updates the highest capacity of all hosts. Hosts that have left still count: at worst a duty is taken a little later. */
+  async #refreshCapacities (): Promise<void> {
+    const { store, clock, log, capacityCores, records } = this.#options
     const nowMs = clock.monotonicMs()
-    if (nowMs - this.#powersReadMs < HOSTS_VALID_MS) return
+    if (nowMs - this.#capacitiesReadMs < CAPACITY_REFRESH_MS) return
     const listed = await store.list(HOSTS_PREFIX)
-    this.#hasAskedPowers = true
+    this.#hasQueriedCapacities = true
     if (listed.err) {
-      log.warn({ error: listed.val }, 'power of other hosts not read')
+      log.warn({ error: listed.val }, 'capacities of other hosts not read')
       return
     }
-    this.#powersReadMs = nowMs
-    this.#mostPower = Math.max(power, ...listed.val.items.flatMap((item) => records.read(item, (text) => decodeJson(powerSchema, text)) ?? []))
+    this.#capacitiesReadMs = nowMs
+    this.#maxCapacityCores = Math.max(
+      capacityCores, ...listed.val.items.flatMap((item) => records.read(item, (text) => decodeJson(capacitySchema, text)) ?? [])
+    )
   }
 
   /**
-   * Competes for a duty, once.
+   * Competes for a duty from now on; has no effect if this host already does.
    *
-   * @param dutyKey - which
-   * @param createTask - makes what does it, each time it is taken
+   * @param dutyKey - key of the duty
+   * @param createTask - creates the task that does the duty; called each time this host wins it
    */
-  compete (dutyKey: string, createTask: (grant: DutyGrant) => DutyRunner): void {
-    if (this.#duties.has(dutyKey) || this.#stop.signal.aborted) return
+  compete (dutyKey: string, createTask: (grant: DutyGrant) => DutyTask): void {
+    if (this.#candidacies.has(dutyKey) || this.#stop.signal.aborted) return
     const { store, clock, log, ttlMs, hostName } = this.#options
     const stop = new AbortController()
     const holder: LeaseHolder = new LeaseHolder({
@@ -149,41 +161,45 @@
       ttlMs,
       store,
       clock,
-      mayTry: () => this.#mayTry(dutyKey),
-      onTenure: (fencingToken) => this.#changeTenure(dutyKey, fencingToken, createTask),
+      mayTry: () => this.#mayAttempt(dutyKey),
+      onTenure: (fencingToken) => this.#handleTenureChange(dutyKey, fencingToken, createTask),
       onStoreError: (what, error) => log.warn({ dutyKey, error }, what)
     })
-    this.#duties.set(dutyKey, { holder, stop, done: holder.run(stop.signal), task: undefined })
-    this.#lookForVacancies()
+    this.#candidacies.set(dutyKey, { holder, stop, done: holder.run(stop.signal), task: undefined })
+    this.#scheduleAttempts()
   }
 
-  /** Gives up a duty that does not exist any more. @param dutyKey - which */
+  /**
+   * Stops competing for a duty that no longer exists, and gives it up if it is held.
+   *
+   * @param dutyKey - key of the duty
+   */
   withdraw (dutyKey: string): void {
-    const duty = this.#duties.get(dutyKey)
+    const duty = this.#candidacies.get(dutyKey)
     if (duty === undefined) return
-    this.#duties.delete(dutyKey)
+    this.#candidacies.delete(dutyKey)
     duty.task?.close()
     duty.stop.abort()
   }
 
-  /** @returns the keys competed for */
+  /** @returns the keys of all duties that this host competes for */
   keys (): string[] {
-    return [...this.#duties.keys()]
+    return [...this.#candidacies.keys()]
   }
 
-  /** Hands all duties over. */
+  /** Hands over all duties: writes what is pending, then releases their leases. */
   async stop (): Promise<void> {
     this.#stop.abort()
-    await Promise.all([...this.#duties.values()].map(async ({ task, stop, done }) => {
-      await task?.flush(FLUSH_MS)
+    await Promise.all([...this.#candidacies.values()].map(async ({ task, stop, done }) => {
+      await task?.flush(FLUSH_TIMEOUT_MS)
       task?.close()
       stop.abort()
       await done
     }))
   }
 
-  #changeTenure (dutyKey: string, fencingToken: number | undefined, createTask: (grant: DutyGrant) => DutyRunner): void {
-    const duty = this.#duties.get(dutyKey)
+  #handleTenureChange (dutyKey: string, fencingToken: number | undefined, createTask: (grant: DutyGrant) => DutyTask): void {
+    const duty = this.#candidacies.get(dutyKey)
     if (duty === undefined) return
     duty.task?.close()
     duty.task = undefined
@@ -195,49 +211,49 @@
       fencingToken,
       holdsDuty: () => duty.holder.grantAt(clock.latestMs())?.fencingToken === fencingToken,
       onDeposed: () => {
-        this.#notBeforeMs.set(dutyKey, clock.monotonicMs() + DEPOSED_PAUSE_MS)
+        this.#earliestRetryMs.set(dutyKey, clock.monotonicMs() + DEPOSED_BACKOFF_MS)
         void duty.holder.abandon()
       }
     })
     duty.task.run().catch((error: unknown) => {
-      log.warn({ dutyKey, err: error }, 'duty failed and is given up')
+      log.warn({ dutyKey, err: error }, 'duty task failed: duty given up')
       duty.task?.close()
       void duty.holder.abandon()
     })
   }
 
-  #lookForVacancies (): void {
+  #scheduleAttempts (): void {
     const { clock, random } = this.#options
     const nowMs = clock.monotonicMs()
-    // Somebody has the duty that was tried last: if it is not this host, others may be tried at once.
-    if (this.#replica.items.has(this.#triedKey) && this.#duties.get(this.#triedKey)?.task === undefined) this.#triedMs = -Infinity
-    for (const [dutyKey, { holder }] of this.#duties) {
-      if (!this.#replica.isListed || !this.#hasAskedPowers || this.#replica.items.has(dutyKey)) {
+    // If another host won the duty of the last attempt, that attempt is over and no longer counts as a held duty.
+    if (this.#dutyReplica.items.has(this.#lastAttemptKey) && this.#candidacies.get(this.#lastAttemptKey)?.task === undefined) this.#lastAttemptMs = -Infinity
+    for (const [dutyKey, { holder }] of this.#candidacies) {
+      if (!this.#dutyReplica.isListed || !this.#hasQueriedCapacities || this.#dutyReplica.items.has(dutyKey)) {
         this.#vacancies.delete(dutyKey)
         continue
       }
       const vacancy = this.#vacancies.get(dutyKey) ?? { sinceMs: nowMs, random: random() }
       this.#vacancies.set(dutyKey, vacancy)
-      setTimeout(() => holder.wake(), Math.max(0, this.#tryFromMs(dutyKey, vacancy, nowMs) - nowMs) + 1).unref()
+      setTimeout(() => holder.wake(), Math.max(0, this.#earliestAttemptMs(dutyKey, vacancy, nowMs) - nowMs) + 1).unref()
     }
   }
 
-  /** What this host took meanwhile, or is about to take, lets the others go first. */
-  #tryFromMs (dutyKey: string, { sinceMs, random }: Vacancy, nowMs: number): number {
-    const { capacityCores: power } = this.#options
-    const isTrying = nowMs < this.#triedMs + TRY_MS
-    const heldCount = this.heldCount + (isTrying ? 1 : 0)
-    const waitMs = dutyClaimDelayMs({ capacityCores: power, maxCapacityCores: this.#mostPower, heldDuties: heldCount, random })
-    return Math.max(sinceMs + waitMs, this.#notBeforeMs.get(dutyKey) ?? -Infinity)
+  /** Returns when this host may try to take a vacant duty: the more duties it holds or is acquiring, the later. */
+  #earliestAttemptMs (dutyKey: string, { sinceMs, random }: Vacancy, nowMs: number): number {
+    const { capacityCores } = this.#options
+    const isAttempting = nowMs < this.#lastAttemptMs + ATTEMPT_MS
+    const heldCount = this.heldCount + (isAttempting ? 1 : 0)
+    const waitMs = dutyClaimDelayMs({ capacityCores, maxCapacityCores: this.#maxCapacityCores, heldDuties: heldCount, random })
+    return Math.max(sinceMs + waitMs, this.#earliestRetryMs.get(dutyKey) ?? -Infinity)
   }
 
-  #mayTry (dutyKey: string): boolean {
+  #mayAttempt (dutyKey: string): boolean {
     const vacancy = this.#vacancies.get(dutyKey)
-    if (vacancy === undefined || !this.#replica.isListed || this.#replica.items.has(dutyKey)) return false
+    if (vacancy === undefined || !this.#dutyReplica.isListed || this.#dutyReplica.items.has(dutyKey)) return false
     const nowMs = this.#options.clock.monotonicMs()
-    if (nowMs < this.#tryFromMs(dutyKey, vacancy, nowMs)) return false
-    this.#triedMs = nowMs
-    this.#triedKey = dutyKey
+    if (nowMs < this.#earliestAttemptMs(dutyKey, vacancy, nowMs)) return false
+    this.#lastAttemptMs = nowMs
+    this.#lastAttemptKey = dutyKey
     return true
   }
 }
--- a/packages/scheduler/src/lib/duties/EventLog.ts
+++ b/packages/scheduler/src/lib/duties/EventLog.ts
@@ -1,10 +1,10 @@
 /**
- * What the scheduler writes its decisions to; a `bunyan` logger is one.
+ * The logger interface of the scheduler; a `bunyan` logger satisfies it.
  *
  * @module
  */
 
-/** Structured lines: fields first, then what happened. @public */
+/** Writes structured log lines: the fields first, then the message. @public */
 export interface EventLog {
   debug(fields: object, message: string): void
   info(fields: object, message: string): void
--- a/packages/scheduler/src/lib/duties/ServiceSchedulerOptions.ts
+++ b/packages/scheduler/src/lib/duties/ServiceSchedulerOptions.ts
@@ -1,5 +1,5 @@
 /**
- * What a service's scheduler works with.
+ * Options of the scheduler of one service.
  *
  * @module
  */
@@ -9,25 +9,25 @@
 import type { EventLog } from './EventLog.js'
 import type { SchedulerMetrics } from './SchedulerMetrics.js'
 
-/** Figures of the platform that the scheduler goes by. @public */
+/** Time limits of the platform that the scheduler has to respect. @public */
 export interface SchedulerBounds {
   /** The longest lease that a worker grants. */
   readonly maxLeaseMs: number
-  /** How long a stop takes at most. */
+  /** The longest time that stopping a run takes. */
   readonly stopMs: number
   /** The shortest lease that the store grants. */
   readonly minTtlMs: number
-  /** For how long an ended job is still answered for. */
+  /** How long the state of an ended job stays available. */
   readonly keepEndedMs: number
 }
 
-/** What a scheduler works with. @public */
+/** Options of {@link ServiceScheduler}. @public */
 export interface ServiceSchedulerOptions {
   readonly service: string
   readonly dutyKey: string
-  /** The duty key's revision: it grows with each holder. */
+  /** Revision of the duty key, which grows with each holder. */
   readonly fencingToken: number
-  /** Whether the duty is held at this moment. */
+  /** Tells whether this host holds the duty at this moment. */
   readonly holdsDuty: () => boolean
   readonly store: KeyValueStore
   readonly orders: RunOrders
@@ -38,8 +38,9 @@
   readonly records: RecordReader
   readonly configuration: () => FleetConfiguration | undefined
   readonly bounds: () => SchedulerBounds
-  /** Where workers register themselves, and how they are read. */
+  /** Prefix under which workers register themselves. */
   readonly workersPrefix: string
+  /** Decodes the registration of a worker. */
   readonly decodeWorker: (item: KeyValue) => Result<WorkerInstance, RecordProblem>
   /** Called when another holder has taken over. */
   readonly onDeposed: () => void
--- a/packages/scheduler/src/lib/machines/MachineDuty.ts
+++ b/packages/scheduler/src/lib/machines/MachineDuty.ts
@@ -12,7 +12,7 @@
 import { planWave } from '@quillscale/policy'
 import type { FencedBatchWriter } from '../records/FencedBatchWriter.js'
 import { createReplica } from '../records/createReplica.js'
-import type { DutyGrant, DutyRunner } from '../duties/DutyElector.js'
+import type { DutyGrant, DutyTask } from '../duties/DutyElector.js'
 import type { EventLog } from '../duties/EventLog.js'
 import { decodeMachineDutyRecord, encodeMachineDutyRecord, MACHINE_DUTY_RECORD_KEY, FALLBACK_MACHINE_DUTY_RECORD, type MachineDutyRecord, type MachineTask, type WaveProgress } from './machineDutyRecord.js'
 import { DemandTracker } from '../records/DemandTracker.js'
@@ -69,7 +69,7 @@
 const MOVE_PATIENCE_MS = 3000
 
 /** The task. @public */
-export class MachineDuty implements DutyRunner {
+export class MachineDuty implements DutyTask {
   readonly #options: MachineDutyOptions
   readonly #stop = new AbortController()
   readonly #vacated: PrefixReplica
--- a/packages/scheduler/src/lib/records/ConfigurationWatcher.ts
+++ b/packages/scheduler/src/lib/records/ConfigurationWatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Follows the operators' configuration and wave requests; a version once in force is never replaced by an older one.
+ * Watches the operators' configuration and wave requests in the store. A configuration is never replaced by an older version.
  *
  * @module
  */
@@ -10,40 +10,40 @@
 import type { MonitoredStore } from './MonitoredStore.js'
 import type { RecordProblem, RecordReader } from './RecordReader.js'
 
-/** What the follower works with. @public */
+/** Options of {@link ConfigurationWatcher}. @public */
 export interface ConfigurationWatcherOptions {
   readonly store: MonitoredStore
   readonly clock: Clock
   readonly log: EventLog
-  /** Below which the operators write. */
+  /** Prefix of the records that operators write. */
   readonly prefix: string
   /** The key of the configuration. */
   readonly configurationKey: string
   readonly records: RecordReader
   readonly decodeConfiguration: (text: string) => Result<FleetConfiguration, RecordProblem>
-  /** `undefined` for keys that are no wave's. */
+  /** Decodes a wave request; returns `undefined` for a key that does not belong to one. */
   readonly decodeWave: (item: KeyValue) => Result<WaveRequest, RecordProblem> | undefined
-  /** Called when another version or other waves are in force. */
+  /** Called when the configuration or the wave requests may have changed. */
   readonly onChange: () => void
 }
 
-/** A version must be in force within 2 s of its writing: a silent connection is noticed in half of that. */
-const WATCH_MS = 1000
-/** What a watch missed is found after so long. */
-const RELIST_MS = 5000
+/** Duration of one watch call. A new version must be in force within 2 s of being written; a dead connection is noticed in half that time. */
+const WATCH_TIMEOUT_MS = 1000
+/** Events that a watch missed are found within this time. */
+const RELIST_INTERVAL_MS = 5000
 
-/** The follower. @public */
+/** Holds the current configuration and the open wave requests. @public */
 export class ConfigurationWatcher {
   readonly waves = new Map<string, WaveRequest>()
   #configuration: FleetConfiguration | undefined
   readonly #options: ConfigurationWatcherOptions
   readonly #replica: PrefixReplica
-  #refreshing: Promise<boolean> | undefined
-  /** Monotonic: when the last reading of its own began, and when the last one that was answered did. */
-  #triedMs = -Infinity
-  #readMs = -Infinity
+  #pendingRefresh: Promise<boolean> | undefined
+  /** When the last extra read of the configuration began, and when the last one that was answered began (monotonic). */
+  #lastReadStartMs = -Infinity
+  #lastAnsweredReadStartMs = -Infinity
 
-  /** @param options - what it works with */
+  /** @param options - the records to watch and how to decode them */
   constructor (options: ConfigurationWatcherOptions) {
     this.#options = options
     const { store, clock, log, prefix } = options
@@ -51,10 +51,10 @@
       store,
       clock,
       prefix,
-      watchMs: WATCH_MS,
-      relistMs: RELIST_MS,
+      watchMs: WATCH_TIMEOUT_MS,
+      relistMs: RELIST_INTERVAL_MS,
       onChange: ({ changed, removed }) => {
-        for (const item of changed) this.#read(item)
+        for (const item of changed) this.#applyRecord(item)
         for (const key of removed) this.waves.delete(key)
         options.onChange()
       },
@@ -62,50 +62,63 @@
     })
   }
 
-  /** The newest version seen, `undefined` before the first. */
+  /** The newest configuration that was read, `undefined` before the first. */
   get current (): FleetConfiguration | undefined {
     return this.#configuration
   }
 
-  /** @param nowMs - monotonic @returns how old the knowledge may be */
+  /**
+   * Computes how stale the configuration may be.
+   *
+   * @param nowMs - the current monotonic time
+   * @returns the time since the last confirmed state
+   */
   ageMs (nowMs: number): number {
-    return Math.min(this.#replica.ageMs(nowMs), nowMs - this.#readMs)
+    return Math.min(this.#replica.ageMs(nowMs), nowMs - this.#lastAnsweredReadStartMs)
   }
 
-  /** @param signal - ends the task */
+  /**
+   * Watches the records until aborted.
+   *
+   * @param signal - ends the watch
+   */
   run (signal: AbortSignal): Promise<void> {
     return this.#replica.run(signal)
   }
 
   /**
-   * Makes what is known no older than so much, if the store answers. Callers that come meanwhile share the reading, and none begins sooner
-   * than so much after the last: however many callers ask for what there is not, the store is read a few times a second.
+   * Reads the configuration again if it is older than a limit. Concurrent callers share one read, and the next read begins no sooner than
+   * that limit after the last: however many callers ask for something that does not exist, the store is read only a few times a second.
    *
-   * @param nowMs - monotonic
-   * @param maxAgeMs - how old it may be
+   * @param nowMs - the current monotonic time
+   * @param maxAgeMs - the oldest acceptable age
    */
   async ensureFresh (nowMs: number, maxAgeMs: number): Promise<void> {
-    // Callers are refused at once, not after a time-out.
+    // While the store is unresponsive, callers are refused at once instead of after a timeout.
     if (this.ageMs(nowMs) <= maxAgeMs || this.#options.store.isUnresponsive(nowMs)) return
-    if (this.#refreshing === undefined && nowMs - this.#triedMs <= maxAgeMs) return
-    if (this.#refreshing === undefined) this.#triedMs = nowMs
-    const askedMs = this.#triedMs
-    if (await this.refresh()) this.#readMs = askedMs
+    if (this.#pendingRefresh === undefined && nowMs - this.#lastReadStartMs <= maxAgeMs) return
+    if (this.#pendingRefresh === undefined) this.#lastReadStartMs = nowMs
+    const startMs = this.#lastReadStartMs
+    if (await this.refresh()) this.#lastAnsweredReadStartMs = startMs
   }
 
-  /** Reads the configuration now; callers that come meanwhile share the reading. @returns whether the store answered */
+  /**
+   * Reads the configuration now; concurrent callers share one read.
+   *
+   * @returns whether the store answered
+   */
   refresh (): Promise<boolean> {
-    this.#refreshing ??= this.#options.store.get(this.#options.configurationKey).then((read) => {
-      this.#refreshing = undefined
-      if (read.ok && read.val !== undefined) this.#read(read.val)
-      else if (read.err) this.#options.log.warn({ error: read.val }, 'configuration not read again')
+    this.#pendingRefresh ??= this.#options.store.get(this.#options.configurationKey).then((read) => {
+      this.#pendingRefresh = undefined
+      if (read.ok && read.val !== undefined) this.#applyRecord(read.val)
+      else if (read.err) this.#options.log.warn({ error: read.val }, 'configuration refresh failed')
       return read.ok
     })
-    return this.#refreshing
+    return this.#pendingRefresh
   }
 
-  #read (item: KeyValue): void {
-    if (item.key === this.#options.configurationKey) return this.#adopt(item)
+  #applyRecord (item: KeyValue): void {
+    if (item.key === this.#options.configurationKey) return this.#applyConfiguration(item)
     const { decodeWave, records, log } = this.#options
     const decoded = decodeWave(item)
     if (decoded === undefined) return
@@ -115,9 +128,10 @@
     log.info({ wave: wave.wave, machines: wave.machineIds.length, deadlineMs: wave.deadlineMs, maxAtOnce: wave.maxAtOnce, revision: item.modRevision }, 'wave requested')
   }
 
-  #adopt (item: KeyValue): void {
+  /** Puts a configuration into force if it is valid and newer than the current one. */
+  #applyConfiguration (item: KeyValue): void {
     const { decodeConfiguration, records, log } = this.#options
-    // One that cannot be read leaves the one in force.
+    // A malformed configuration leaves the current one in force.
     const next = records.read(item, decodeConfiguration)
     if (next === undefined || (this.#configuration !== undefined && next.version <= this.#configuration.version)) return
     log.info({ version: next.version, before: this.#configuration?.version, revision: item.modRevision, queues: next.queues.length, services: next.services.length }, 'configuration in force')
--- a/packages/scheduler/src/lib/records/DemandTracker.ts
+++ b/packages/scheduler/src/lib/records/DemandTracker.ts
@@ -1,5 +1,5 @@
 /**
- * Demands as services' schedulers write them, without those whose scheduler is gone.
+ * Reads the demands that the schedulers of services publish, and drops those of schedulers that have stopped.
  *
  * @module
  */
@@ -8,29 +8,36 @@
 import type { RecordReader } from './RecordReader.js'
 import { DEMAND_PREFIX, decodeDemand } from './serviceDemand.js'
 
-/** A demand that did not change for so long is of a scheduler that is gone: nothing is moved by it. A living one repeats it each 2 s. */
-const DEMAND_VALID_MS = 5000
+/** A running scheduler writes its demand again every 2 s. After this long without a write, no machine is moved because of the demand. */
+const DEMAND_TTL_MS = 5000
 
-interface Seen { readonly revision: number, readonly atMs: number }
+/** The last revision of a demand, and when it was first read. */
+interface Observation { readonly revision: number, readonly atMs: number }
 
-/** The book. @public */
+/** Tracks which demands are up to date. @public */
 export class DemandTracker {
   readonly #records: RecordReader
-  readonly #seen = new Map<string, Seen>()
+  readonly #observations = new Map<string, Observation>()
 
-  /** @param records - reads what may be anybody's */
+  /** @param records - decodes the demands and reports those that are malformed */
   constructor (records: RecordReader) {
     this.#records = records
   }
 
-  /** @param items - demands as kept @param nowMs - monotonic @returns those whose scheduler has spoken lately */
+  /**
+   * Selects the demands that were written recently.
+   *
+   * @param items - the stored demands by key
+   * @param nowMs - the current monotonic time
+   * @returns the demands of running schedulers
+   */
   current (items: ReadonlyMap<string, KeyValue>, nowMs: number): ServiceDemand[] {
     return [...items.values()].flatMap((item) => {
       const { key, modRevision } = item
-      const seen = this.#seen.get(key)
-      const isNew = seen?.revision !== modRevision
-      if (isNew) this.#seen.set(key, { revision: modRevision, atMs: nowMs })
-      if (!isNew && nowMs - seen.atMs >= DEMAND_VALID_MS) return []
+      const observation = this.#observations.get(key)
+      const isNew = observation?.revision !== modRevision
+      if (isNew) this.#observations.set(key, { revision: modRevision, atMs: nowMs })
+      if (!isNew && nowMs - observation.atMs >= DEMAND_TTL_MS) return []
       return this.#records.read(item, (text) => decodeDemand(key.slice(DEMAND_PREFIX.length), text)) ?? []
     })
   }
--- a/packages/scheduler/src/lib/records/FencedBatchWriter.ts
+++ b/packages/scheduler/src/lib/records/FencedBatchWriter.ts
@@ -1,129 +1,156 @@
 /**
- * Writes a scheduler's records in batches, one transaction at a time.
+ * Writes the records of a duty's holder in batches, one transaction at a time.
  *
- * Each transaction carries the duty's revision, so that a deposed scheduler cannot write, and replaces the number of the one
- * before, so that one whose answer was lost can be sent again without taking effect twice or over a newer one.
+ * Each transaction is conditional on the revision of the duty key, the fencing token, so that a deposed holder cannot write. It also
+ * replaces the sequence number that the previous transaction left under the chain key. So a transaction whose answer was lost can be
+ * sent again: it neither takes effect twice nor overwrites a newer one.
  *
  * @module
  */
 import { delay, type Clock } from '@quillscale/utils'
 import { MAX_TRANSACTION_ENTRIES, type KeyValueStore, type PlatformError, type Transaction } from '@quillscale/ports'
 
-/** What a commit log writes under. @public */
+/** Options of {@link FencedBatchWriter}. @public */
 export interface FencedBatchWriterOptions {
   readonly store: KeyValueStore
   readonly clock: Clock
   readonly dutyKey: string
+  /** Revision of the duty key since this holder took it: the fencing token. */
   readonly dutyRevision: number
+  /** Key of the number of the last transaction. */
   readonly chainKey: string
+  /** Revision of the chain key before the first transaction, 0 if it does not exist. */
   readonly chainRevision: number
-  /** Of the holder that wrote last, if any did. */
+  /** Duty revision of the holder that wrote last, if any did. */
   readonly previousDutyRevision?: number | undefined
-  /** Called when another holder has taken over: nothing of this log will be written any more. */
+  /** Called when another holder has taken over: this writer will write nothing more. */
   readonly onDeposed: () => void
-  /** Called for each try that failed. */
+  /** Called for each failed attempt. */
   readonly onStoreError: (error: PlatformError, transactionNumber: number) => void
-  /** Called for each transaction that took effect. */
+  /** Called for each transaction that took effect, with its number of records and its latency. */
   readonly onCommit?: (entries: number, latencyMs: number) => void
 }
 
-/** A value to be written, encoded when its transaction is made; `undefined` removes the key. @public */
+/** Encodes the value of a key when its transaction is built; `undefined` removes the key. @public */
 export type RecordEncoder = () => string | undefined
 
-/** Two conditions and the chain's own put. */
-const BOOKKEEPING_ENTRIES = 3
-/** A tenth of what the slowest of the users' links, 7 Mbit/s, carries before a call is given up (0.9 s), as the link has other work too. */
+/** Entries of each transaction besides the records: two conditions and the put of the chain key. */
+const OVERHEAD_ENTRIES = 3
+/** A tenth of what a 7 Mbit/s link, the slowest in use, carries within the call timeout of 0.9 s: the link has other traffic too. */
 const MAX_BATCH_BYTES = 64 * 1024
-/** What nobody waits for is written this much later, together with what comes meanwhile. */
-const PATIENT_MS = 50
-/** Between transactions: four schedulers at this pace stay within two thirds of 400 writes a second, the smallest store served. */
-const MIN_SPACING_MS = 15
-const RETRY_FIRST_MS = 60
-const RETRY_MAX_MS = 500
-
-/** @param chainValue - as a log writes it with each transaction @returns the duty's revision of that log @public */
+/** How long records that nobody waits for are held back, so that later ones join their batch. */
+const BATCH_DELAY_MS = 50
+/** Minimum time from one transaction to the next: four schedulers then use at most two thirds of 400 writes/s, the rate of the smallest supported store. */
+const MIN_TRANSACTION_INTERVAL_MS = 15
+const INITIAL_BACKOFF_MS = 60
+const MAX_BACKOFF_MS = 500
+
+/**
+ * Reads the duty revision from the value of a chain key.
+ *
+ * @param chainValue - the value of the chain key, `undefined` if it does not exist
+ * @returns the duty revision of the holder that wrote it
+ * @public
+ */
 export function readDutyRevision (chainValue: string | undefined): number | undefined {
   return chainValue === undefined ? undefined : Number(chainValue.split('.')[0])
 }
 
-interface Waiter { readonly sequence: number, readonly resolve: (isDurable: boolean) => void }
-interface Encoded { readonly key: string, readonly value: string | undefined, readonly sequence: number }
-interface Dirty { readonly sequence: number, readonly source: RecordEncoder }
+/** A caller of {@link FencedBatchWriter.flushed}, and the sequence number up to which it waits. */
+interface FlushWaiter { readonly sequence: number, readonly resolve: (isDurable: boolean) => void }
+/** A record of the transaction that is being sent. */
+interface EncodedRecord { readonly key: string, readonly value: string | undefined, readonly sequence: number }
+/** A record that is not yet part of a transaction. */
+interface PendingRecord { readonly sequence: number, readonly source: RecordEncoder }
 
-/** The log. @public */
+/** Batches records and writes them under the fencing token of a duty. @public */
 export class FencedBatchWriter {
   readonly #options: FencedBatchWriterOptions
-  readonly #dirty = new Map<string, Dirty>()
-  readonly #waiters: Waiter[] = []
-  #sequence = 0
+  readonly #pending = new Map<string, PendingRecord>()
+  readonly #waiters: FlushWaiter[] = []
+  #lastSequence = 0
   #inFlightSequence = Infinity
   #chainRevision: number
-  #number = 0
+  #transactionNumber = 0
   #isClosed = false
   #isUrgent = false
-  #wake: () => void = () => {}
+  #wakeLoop: () => void = () => {}
 
-  /** @param options - where and under which duty */
+  /** @param options - the store, the duty and the chain key to write under */
   constructor (options: FencedBatchWriterOptions) {
     this.#options = options
     this.#chainRevision = options.chainRevision
   }
 
-  /** The duty's revision under which anything was written last, before this log. */
+  /** Duty revision of the holder that wrote last before this one. */
   get previousDutyRevision (): number | undefined {
     return this.#options.previousDutyRevision
   }
 
-  /** @param key - to be written soon @param source - gives its value then @param isUrgent - whether something waits for it */
+  /**
+   * Schedules a key to be written.
+   *
+   * @param key - key to write; a pending write of the same key is replaced
+   * @param source - encodes the value when the transaction is built
+   * @param isUrgent - whether to write it without the batch delay, as something waits for it
+   */
   put (key: string, source: RecordEncoder, isUrgent = false): void {
-    const sequence = this.#dirty.get(key)?.sequence ?? ++this.#sequence
-    this.#dirty.set(key, { sequence, source })
+    const sequence = this.#pending.get(key)?.sequence ?? ++this.#lastSequence
+    this.#pending.set(key, { sequence, source })
     if (isUrgent) this.#isUrgent = true
-    this.#wake()
+    this.#wakeLoop()
   }
 
-  /** @returns true once all that was put so far is durable, false if it never will be by this log */
+  /**
+   * Waits until all records put so far are durable.
+   *
+   * @returns true once they are, false if this writer is closed before that
+   */
   flushed (): Promise<boolean> {
     if (this.#isClosed) return Promise.resolve(false)
     if (this.#oldestPending() === Infinity) return Promise.resolve(true)
-    return new Promise((resolve) => this.#waiters.push({ sequence: this.#sequence, resolve }))
+    return new Promise((resolve) => this.#waiters.push({ sequence: this.#lastSequence, resolve }))
   }
 
-  /** @param timeoutMs - the longest that the caller waits for {@link flushed} */
+  /**
+   * Waits for {@link FencedBatchWriter.flushed}, but no longer than a timeout.
+   *
+   * @param timeoutMs - the timeout
+   */
   async flushWithin (timeoutMs: number): Promise<void> {
     await Promise.race([this.flushed(), delay(timeoutMs)])
   }
 
-  /** Writes nothing more. */
+  /** Stops writing; pending records are dropped. */
   close (): void {
     this.#isClosed = true
     for (const { resolve } of this.#waiters.splice(0)) resolve(false)
-    this.#wake()
+    this.#wakeLoop()
   }
 
-  /** Writes until closed. */
+  /** Writes batches until closed. */
   async run (): Promise<void> {
     while (!this.#isClosed) {
-      if (this.#dirty.size === 0) {
-        await new Promise<void>((resolve) => { this.#wake = resolve })
+      if (this.#pending.size === 0) {
+        await new Promise<void>((resolve) => { this.#wakeLoop = resolve })
         continue
       }
-      if (!this.#isUrgent) await this.#bePatient()
+      if (!this.#isUrgent) await this.#waitForMore()
       this.#isUrgent = false
       const startedMs = this.#options.clock.monotonicMs()
       await this.#commitBatch()
-      // What did not fit may have been urgent.
-      if (this.#dirty.size > 0) this.#isUrgent = true
+      // The records that did not fit into the batch may be urgent.
+      if (this.#pending.size > 0) this.#isUrgent = true
       const tookMs = this.#options.clock.monotonicMs() - startedMs
-      if (tookMs < MIN_SPACING_MS) await delay(MIN_SPACING_MS - tookMs)
+      if (tookMs < MIN_TRANSACTION_INTERVAL_MS) await delay(MIN_TRANSACTION_INTERVAL_MS - tookMs)
     }
   }
 
-  /** Waits a while, or until something urgent is put. */
-  #bePatient (): Promise<void> {
+  /** Waits for the batch delay, or until an urgent record is put or the writer is closed. */
+  #waitForMore (): Promise<void> {
     return new Promise((resolve) => {
-      const timer = setTimeout(resolve, PATIENT_MS)
-      this.#wake = () => {
+      const timer = setTimeout(resolve, BATCH_DELAY_MS)
+      this.#wakeLoop = () => {
         if (!this.#isUrgent && !this.#isClosed) return
         clearTimeout(timer)
         resolve()
@@ -132,32 +159,32 @@
   }
 
   async #commitBatch (): Promise<void> {
-    const batch = this.#takeBatch()
+    const batch = this.#nextBatch()
     this.#inFlightSequence = Math.min(...batch.map(({ sequence }) => sequence))
-    const transaction = this.#transactionOf(batch, ++this.#number)
+    const transaction = this.#buildTransaction(batch, ++this.#transactionNumber)
     const startedMs = this.#options.clock.monotonicMs()
     const isDurable = await this.#send(transaction)
     this.#inFlightSequence = Infinity
     if (!isDurable) return
     this.#options.onCommit?.(batch.length, this.#options.clock.monotonicMs() - startedMs)
-    this.#release()
+    this.#resolveWaiters()
   }
 
-  /** The oldest records, as many as one transaction holds and a slow link carries in time; at least one. */
-  #takeBatch (): Encoded[] {
-    const batch: Encoded[] = []
+  /** Takes the oldest records, up to the limits of a transaction in entries and bytes; at least one. */
+  #nextBatch (): EncodedRecord[] {
+    const batch: EncodedRecord[] = []
     let bytes = 0
-    for (const [key, { sequence, source }] of this.#dirty) {
+    for (const [key, { sequence, source }] of this.#pending) {
       const value = source()
       bytes += value?.length ?? 0
-      if (batch.length > 0 && (bytes > MAX_BATCH_BYTES || batch.length >= MAX_TRANSACTION_ENTRIES - BOOKKEEPING_ENTRIES)) break
+      if (batch.length > 0 && (bytes > MAX_BATCH_BYTES || batch.length >= MAX_TRANSACTION_ENTRIES - OVERHEAD_ENTRIES)) break
       batch.push({ key, value, sequence })
     }
-    for (const { key } of batch) this.#dirty.delete(key)
+    for (const { key } of batch) this.#pending.delete(key)
     return batch
   }
 
-  #transactionOf (batch: readonly Encoded[], number: number): Transaction {
+  #buildTransaction (batch: readonly EncodedRecord[], number: number): Transaction {
     const { dutyKey, dutyRevision, chainKey } = this.#options
     return {
       conditions: [{ key: dutyKey, modRevision: dutyRevision }, { key: chainKey, modRevision: this.#chainRevision }],
@@ -170,14 +197,20 @@
     return `${this.#options.dutyRevision}.${number}`
   }
 
-  /** Sends until it is known to have taken effect, by this try or an earlier one, or never to do so. */
+  /**
+   * Sends a transaction until its outcome is known. A conflict is a success if the chain key shows that an earlier attempt took effect;
+   * any other conflict means that another holder has taken over.
+   *
+   * @param transaction - the transaction
+   * @returns whether it took effect
+   */
   async #send (transaction: Transaction): Promise<boolean> {
     const { store, chainKey, dutyKey, dutyRevision, onStoreError, onDeposed } = this.#options
-    for (let pauseMs = RETRY_FIRST_MS; !this.#isClosed; pauseMs = Math.min(RETRY_MAX_MS, pauseMs * 2)) {
+    for (let backoffMs = INITIAL_BACKOFF_MS; !this.#isClosed; backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2)) {
       const outcome = await store.transact(transaction)
       if (outcome.err) {
-        onStoreError(outcome.val, this.#number)
-        await delay(pauseMs)
+        onStoreError(outcome.val, this.#transactionNumber)
+        await delay(backoffMs)
         continue
       }
       if (outcome.val.committed) {
@@ -186,7 +219,7 @@
       }
       const isHolder = outcome.val.current.some(({ key, modRevision }) => key === dutyKey && modRevision === dutyRevision)
       const chain = outcome.val.current.find(({ key }) => key === chainKey)
-      if (isHolder && chain?.value === this.#chainValue(this.#number)) {
+      if (isHolder && chain?.value === this.#chainValue(this.#transactionNumber)) {
         this.#chainRevision = chain.modRevision
         return true
       }
@@ -197,11 +230,11 @@
   }
 
   #oldestPending (): number {
-    const first = this.#dirty.values().next()
+    const first = this.#pending.values().next()
     return Math.min(this.#inFlightSequence, first.done === true ? Infinity : first.value.sequence)
   }
 
-  #release (): void {
+  #resolveWaiters (): void {
     const oldest = this.#oldestPending()
     const done = this.#waiters.filter(({ sequence }) => sequence < oldest)
     this.#waiters.splice(0, this.#waiters.length, ...this.#waiters.filter(({ sequence }) => sequence >= oldest))
--- a/packages/scheduler/src/lib/records/RecordReader.ts
+++ b/packages/scheduler/src/lib/records/RecordReader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads records of the store that anybody may have written: one that cannot be read is told once and passed over.
+ * Decodes records of the store, which any client may have written. A malformed record is reported once and skipped.
  *
  * @module
  */
@@ -8,26 +8,35 @@
 import type { EventLog } from '../duties/EventLog.js'
 import type { SchedulerMetrics } from '../duties/SchedulerMetrics.js'
 
-/** What is wrong with a record: how it is written, or what it names. @public */
+/** Why a record is not used: it is malformed, or it refers to a service that does not exist. @public */
 export type RecordProblem = DecodeProblem | { readonly reason: 'unknown-service', readonly path: string, readonly detail: string }
 
-/** Keys whose last unreadable revision is remembered, so that each is told once; the oldest are forgotten. A line is some 300 bytes. */
-const MAX_REMEMBERED = 1000
+/** Number of keys whose last malformed revision is remembered, so that each is logged once (some 300 bytes a line); the oldest are forgotten. */
+const MAX_REPORTED_KEYS = 1000
 
-/** The reader. @public */
+/** Decodes records, and logs and counts those that are malformed. @public */
 export class RecordReader {
   readonly #log: EventLog
   readonly #metrics: SchedulerMetrics
-  /** Revisions by key. */
-  readonly #told = new Map<string, number>()
+  /** The last reported revision by key. */
+  readonly #reportedRevisions = new Map<string, number>()
 
-  /** @param log - gets a line for each revision that cannot be read @param metrics - count them by reason */
+  /**
+   * @param log - receives one warning for each malformed revision
+   * @param metrics - counts them by reason
+   */
   constructor (log: EventLog, metrics: SchedulerMetrics) {
     this.#log = log
     this.#metrics = metrics
   }
 
-  /** @param item - of the store @param decode - what it should be @returns what it holds, `undefined` if it cannot be read */
+  /**
+   * Decodes a record.
+   *
+   * @param item - the stored key and value
+   * @param decode - the decoder of its kind of record
+   * @returns the decoded record, `undefined` if it is malformed
+   */
   read<T> (item: KeyValue, decode: (text: string) => Result<T, RecordProblem>): T | undefined {
     const decoded = decode(item.value)
     if (decoded.ok) return decoded.val
@@ -35,13 +44,18 @@
     return undefined
   }
 
-  /** @param item - of the store, or its key and revision @param problem - why it is not used */
+  /**
+   * Logs and counts a record that is not used, once for each revision.
+   *
+   * @param item - the key and revision of the record
+   * @param problem - why it is not used
+   */
   reject ({ key, modRevision }: Pick<KeyValue, 'key' | 'modRevision'>, problem: RecordProblem): void {
-    if (this.#told.get(key) === modRevision) return
-    this.#told.delete(key)
-    this.#told.set(key, modRevision)
-    const oldest = this.#told.keys().next()
-    if (this.#told.size > MAX_REMEMBERED && oldest.done !== true) this.#told.delete(oldest.value)
+    if (this.#reportedRevisions.get(key) === modRevision) return
+    this.#reportedRevisions.delete(key)
+    this.#reportedRevisions.set(key, modRevision)
+    const oldest = this.#reportedRevisions.keys().next()
+    if (this.#reportedRevisions.size > MAX_REPORTED_KEYS && oldest.done !== true) this.#reportedRevisions.delete(oldest.value)
     this.#metrics.count('unreadable_records', problem.reason)
     this.#log.warn({ key, revision: modRevision, problem }, 'a record cannot be read and is not used')
   }
--- a/packages/scheduler/src/lib/records/createReplica.ts
+++ b/packages/scheduler/src/lib/records/createReplica.ts
@@ -1,28 +1,30 @@
 /**
- * Copies of parts of the store, as all duties follow them.
+ * Creates the local replicas of parts of the store that duties work with.
  *
  * @module
  */
 import { PrefixReplica, type PrefixReplicaOptions } from '@quillscale/leases'
 import type { EventLog } from '../duties/EventLog.js'
 
-/** How long one watch waits: after so much more a silent connection is noticed. */
-const WATCH_MS = 3000
-/** What a watch missed is found after so long: below the 10 s after which a job that nobody starts counts as lost. */
-const RELIST_MS = 8000
+/** Duration of one watch call. A dead connection is noticed after the same time again. */
+const WATCH_TIMEOUT_MS = 3000
+/** Events that a watch missed are found within this time. It is below 10 s, after which a job that was not started counts as lost. */
+const RELIST_INTERVAL_MS = 8000
 
 /**
- * @param log - told when the store stops answering, and when it answers again
- * @param options - what is followed
- * @returns the copy, to be run
+ * Creates a replica of all keys under a prefix.
+ *
+ * @param log - receives a warning when the store stops answering, and one when it answers again
+ * @param options - the prefix to replicate and the callback for changes
+ * @returns the replica, which the caller has to run
  * @public
  */
 export function createReplica (log: EventLog, options: Omit<PrefixReplicaOptions, 'watchMs' | 'relistMs' | 'onContact'>): PrefixReplica {
   const { prefix } = options
   return new PrefixReplica({
     ...options,
-    watchMs: WATCH_MS,
-    relistMs: RELIST_MS,
+    watchMs: WATCH_TIMEOUT_MS,
+    relistMs: RELIST_INTERVAL_MS,
     onContact: (error) => log.warn({ prefix, error }, error === undefined ? 'store answers again' : 'store does not answer')
   })
 }
--- a/packages/scheduler/src/lib/records/openFencedBatchWriter.ts
+++ b/packages/scheduler/src/lib/records/openFencedBatchWriter.ts
@@ -1,5 +1,5 @@
 /**
- * Opens the log of a new holder, after the last transaction of the one before.
+ * Creates the batch writer of a duty's new holder.
  *
  * @module
  */
@@ -7,9 +7,11 @@
 import { retryUntilAnswered } from './retryUntilAnswered.js'
 
 /**
- * @param options - where and under which duty
- * @param signal - ends the tries
- * @returns the log, `undefined` once the signal has ended the tries
+ * Creates a writer that continues after the previous holder's last transaction. Reads the chain key until the store answers.
+ *
+ * @param options - the store, the duty and the chain key to write under
+ * @param signal - aborts the attempts
+ * @returns the writer, `undefined` if aborted
  * @public
  */
 export async function openFencedBatchWriter (
--- a/packages/scheduler/src/lib/records/retryUntilAnswered.ts
+++ b/packages/scheduler/src/lib/records/retryUntilAnswered.ts
@@ -1,27 +1,27 @@
 /**
- * Reads of which a new holder cannot do without the answer.
+ * Retries the reads without which a new holder of a duty cannot start.
  *
  * @module
  */
 import { delay, type Result } from '@quillscale/utils'
 import type { PlatformError } from '@quillscale/ports'
 
-/** Between tries: a holder should begin soon after the store is back, and sixteen of them stay below a tenth of its reads. */
-const RETRY_MS = 150
+/** Short enough that a holder starts soon after the store recovers; at this rate sixteen holders use less than a tenth of the store's reads. */
+const RETRY_INTERVAL_MS = 150
 
 /**
- * Asks the store until it has answered.
+ * Repeats a read until the store answers.
  *
- * @param read - one try
- * @param signal - ends the tries
- * @returns what was read, `undefined` once the signal has ended them
+ * @param read - makes one attempt
+ * @param signal - aborts the attempts
+ * @returns the result of the read, `undefined` if aborted
  * @public
  */
 export async function retryUntilAnswered<T> (read: () => Promise<Result<T, PlatformError>>, signal: AbortSignal): Promise<T | undefined> {
   while (!signal.aborted) {
     const answer = await read()
     if (answer.ok) return answer.val
-    await delay(RETRY_MS, signal)
+    await delay(RETRY_INTERVAL_MS, signal)
   }
   return undefined
 }
--- a/packages/scheduler/src/lib/records/serviceDemand.ts
+++ b/packages/scheduler/src/lib/records/serviceDemand.ts
@@ -1,5 +1,5 @@
 /**
- * What a scheduler tells the holder of machines about its service, as it is kept.
+ * Encodes the demand for machines that the scheduler of a service publishes for the holder of the machine duty.
  *
  * @module
  */
@@ -7,25 +7,38 @@
 import * as z from 'zod'
 import type { ServiceDemand } from '@quillscale/policy'
 
-/** Below which demands are kept. @public */
+/** Prefix of the demands of all services. @public */
 export const DEMAND_PREFIX = 'demand/'
-/** The demand of a service. @public */
+/** Key of the demand of a service. @public */
 export const demandKey = (service: string): string => `${DEMAND_PREFIX}${service}`
 
-const amount = z.number().nonnegative()
+const nonNegativeNumber = z.number().nonnegative()
 const demandSchema = z.object({
-  wantedMillis: amount,
-  leastMachines: amount,
-  machineMillis: amount,
-  runs: z.array(z.tuple([z.string(), amount]))
+  wantedMillis: nonNegativeNumber,
+  leastMachines: nonNegativeNumber,
+  machineMillis: nonNegativeNumber,
+  runs: z.array(z.tuple([z.string(), nonNegativeNumber]))
 })
 
-/** @param demand - of a service @returns it as text @public */
+/**
+ * Encodes a demand for the store.
+ *
+ * @param demand - the demand of a service
+ * @returns the demand as JSON
+ * @public
+ */
 export function encodeDemand ({ wantedMillis, leastMachines, machineMillis, runsByMachine }: ServiceDemand): string {
   return JSON.stringify({ wantedMillis, leastMachines, machineMillis, runs: [...runsByMachine] })
 }
 
-/** @param service - whose @param text - as kept @returns the demand, or why it cannot be read @public */
+/**
+ * Decodes a stored demand.
+ *
+ * @param service - the service whose demand it is
+ * @param text - the stored JSON
+ * @returns the demand, or why the record is malformed
+ * @public
+ */
 export function decodeDemand (service: string, text: string): Result<ServiceDemand, DecodeProblem> {
   return decodeJson(demandSchema, text).map(({ runs, ...rest }) => ({ service, ...rest, runsByMachine: new Map(runs) }))
 }
--- a/packages/scheduler/src/test/DutyElector.test.ts
+++ b/packages/scheduler/src/test/DutyElector.test.ts
@@ -2,7 +2,7 @@
 import { delay, Err, SeededRandom, systemClock, type Result } from '@quillscale/utils'
 import type { KeyValueStore, PlatformError } from '@quillscale/ports'
 import { MemoryKeyValueStore } from '@quillscale/platform-memory'
-import { DutyElector, type DutyGrant, type DutyRunner } from '../lib/duties/DutyElector.js'
+import { DutyElector, type DutyGrant, type DutyTask } from '../lib/duties/DutyElector.js'
 import { DUTY_PREFIX, hostKey, HOSTS_PREFIX } from '../lib/records/storeKeys.js'
 import { RecordReader } from '../lib/records/RecordReader.js'
 import { SchedulerMetrics } from '../lib/duties/SchedulerMetrics.js'
@@ -34,7 +34,7 @@
 class Tenures {
   readonly holders = new Map<string, { readonly host: string, readonly fromMs: number }>()
 
-  create (dutyKey: string, host: string): (grant: DutyGrant) => DutyRunner {
+  create (dutyKey: string, host: string): (grant: DutyGrant) => DutyTask {
     return () => {
       this.holders.set(dutyKey, { host, fromMs: performance.now() })
       return { run: async () => {}, close: () => {}, flush: async () => {} }
