--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs of steps and tasks: accepted at any entry host, run by one holder a service.
+ * Schedules jobs of steps and tasks: any entry host accepts them, and one elected host for each service places and tracks their runs.
  *
  * @module
  */
--- a/packages/scheduler/src/lib/duties/ServiceScheduler.ts
+++ b/packages/scheduler/src/lib/duties/ServiceScheduler.ts
@@ -1,8 +1,9 @@
 /**
- * Runs the jobs of one service, while this process holds that service's duty.
+ * Schedules the jobs of one service while this process holds the duty of that service.
  *
- * A placement is written under the duty before its start is sent, and an end before it is acknowledged to its worker. So
- * a next holder finds every run that may be going on, and a deposed one can neither place nor acknowledge.
+ * A placement is written under the duty's fencing token before the start is sent to the worker, and the end of a run before it is
+ * acknowledged to the worker. So the next holder finds every run that may still be running, and a deposed holder can neither place
+ * runs nor acknowledge their ends.
  *
  * @module
  */
@@ -32,95 +33,95 @@
 import { WorkerRegistrations } from '../workers/WorkerRegistrations.js'
 import { WorkerTracker, type WorkerTrackerOptions } from '../workers/WorkerTracker.js'
 
-/** The least time between two placement rounds: tasks that end together are replaced together. */
-const ROUND_SPACING_MS = 20
-/** After a round, this many times as long passes as it took: a service that has grown leaves its host time for holds and requests. */
-const ROUND_PAUSES = 2
-/** Also without an event: retries, expiring waits, due times. */
-const TICK_MS = 200
-/** Changes of workers' registrations may wait a little; new jobs should start soon. */
-const WORKERS_SPACING_MS = 150
-const INBOX_SPACING_MS = 20
+/** Minimum time between two placement rounds, so that tasks that end together are replaced together. */
+const MIN_ROUND_INTERVAL_MS = 20
+/** Pause after a round as a multiple of the time that the round took. It leaves the host of a large service time to poll workers and serve requests. */
+const PAUSE_PER_ROUND_TIME = 2
+/** Maximum time between two rounds, for events that request none: retries, expired waits and scheduled start times. */
+const MAX_ROUND_WAIT_MS = 200
+/** Minimum time between two updates of the registrations, which may wait longer than new jobs. */
+const REGISTRATIONS_INTERVAL_MS = 150
+const INBOX_INTERVAL_MS = 20
 
-/** The scheduler. @public */
+/** Places the tasks of one service on its workers, and tracks their runs, quotas and job states. @public */
 export class ServiceScheduler {
   readonly #options: ServiceSchedulerOptions
-  readonly #book: JobRegistry
+  readonly #registry: JobRegistry
   readonly #log: EventLog
   readonly #times = new RunTimeEstimator()
-  readonly #advice: PlacementAdviceCache
-  readonly #vacator: MachineDrainer
+  readonly #adviceCache: PlacementAdviceCache
+  readonly #drainer: MachineDrainer
   readonly #silentWorkers: SilentWorkers
   readonly #ledger: QuotaLedger
   readonly #workers: WorkerTracker
   readonly #tracker: RunTracker
-  readonly #crashBook: CrashTracker
+  readonly #crashTracker: CrashTracker
   readonly #starter: RunStarter
   readonly #statusWriter: StatusWriter
   readonly #registrations: WorkerRegistrations
-  readonly #registrationItems: PrefixReplica
+  readonly #registrationReplica: PrefixReplica
   readonly #inboxReader: InboxReader
-  readonly #inbox: PrefixReplica
+  readonly #inboxReplica: PrefixReplica
   readonly #stop = new AbortController()
-  #wakeRound: () => void = () => {}
-  /** Set once the store has answered. */
-  #commits!: FencedBatchWriter
-  #tookOverMs = 0
+  #endRoundWait: () => void = () => {}
+  /** Set once the store has answered in {@link ServiceScheduler.run}. */
+  #writer!: FencedBatchWriter
+  #startedMs = 0
   #isRoundDue = false
-  /** The first list of jobs was read: workers may be met. */
-  #hasHeardOfAll = false
+  /** Whether the first list of jobs was read; workers are connected only after it. */
+  #hasListedInbox = false
 
-  /** @param options - what it works with */
+  /** @param options - the service, the duty under which it is scheduled, and access to the store and workers */
   constructor (options: ServiceSchedulerOptions) {
     this.#options = options
     this.#log = options.log
-    // Many waits end with the scheduler.
+    // Many pending waits listen to this signal.
     setMaxListeners(0, this.#stop.signal)
     const { clock, store, service, configuration } = options
-    this.#book = new JobRegistry({
+    this.#registry = new JobRegistry({
       clock,
       log: options.log,
       times: this.#times,
       maxAttemptsOf: (job) => configuration()?.queues.find(({ name }) => name === job.spec.queue)?.attempts ?? DEFAULT_ATTEMPTS,
       linkOf: (run) => this.#workers.linkOf(run),
-      onChanged: (job) => this.#changed(job),
+      onChanged: (job) => this.#saveProgress(job),
       onRunClosed: (run) => this.#ledger.removeRun(run),
       onUnneeded: (run) => this.#tracker.stopRun(run)
     })
     this.#ledger = this.#createLedger()
     this.#tracker = this.#createTracker()
     this.#starter = new RunStarter({
-      registry: this.#book,
-      whenFlushed: () => this.#commits.flushed(),
+      registry: this.#registry,
+      whenFlushed: () => this.#writer.flushed(),
       linkOf: (run) => this.#workers.linkOf(run),
       stopRun: (run) => this.#tracker.stopRun(run),
-      onChanged: (job) => this.#changed(job, true)
+      onChanged: (job) => this.#saveProgress(job, true)
     })
-    this.#crashBook = new CrashTracker({
-      log: options.log, count: (kind) => options.metrics.count('workers_ended_under_tasks', kind), onChanged: (job) => this.#changed(job)
+    this.#crashTracker = new CrashTracker({
+      log: options.log, count: (kind) => options.metrics.count('workers_ended_under_tasks', kind), onChanged: (job) => this.#saveProgress(job)
     })
-    const put = (key: string, source: RecordEncoder, isUrgent: boolean): void => this.#commits.put(key, source, isUrgent)
+    const put = (key: string, source: RecordEncoder, isUrgent: boolean): void => this.#writer.put(key, source, isUrgent)
     this.#silentWorkers = this.#createSilentWorkers(put)
     this.#workers = this.#createWorkers()
     this.#statusWriter = new StatusWriter({ service, clock, log: options.log, put, limitOf: (account) => accountsOf(configuration()).limitOf(account) })
-    this.#advice = new PlacementAdviceCache({ advice: options.advice, clock, log: options.log, onAdvice: () => this.#wake() })
-    this.#vacator = new MachineDrainer({ service, clock, log: options.log, put, stop: (run) => { void this.#starter.evict(run) } })
+    this.#adviceCache = new PlacementAdviceCache({ advice: options.advice, clock, log: options.log, onAdvice: () => this.#requestRound() })
+    this.#drainer = new MachineDrainer({ service, clock, log: options.log, put, stop: (run) => { void this.#starter.evict(run) } })
     this.#registrations = new WorkerRegistrations({
       ...options, prefix: options.workersPrefix, isServiceConfigured: (name) => configuration()?.services.some((named) => named.name === name) === true
     })
-    this.#registrationItems = createReplica(options.log, {
-      store, clock, prefix: options.workersPrefix, spacingMs: WORKERS_SPACING_MS, onChange: () => this.#followWorkers()
+    this.#registrationReplica = createReplica(options.log, {
+      store, clock, prefix: options.workersPrefix, spacingMs: REGISTRATIONS_INTERVAL_MS, onChange: () => this.#updateWorkers()
     })
     this.#inboxReader = new InboxReader({
       ...options,
-      registry: this.#book,
-      vacator: this.#vacator,
+      registry: this.#registry,
+      vacator: this.#drainer,
       weightOf: (account) => accountsOf(configuration()).weightOf(account),
-      onRunRestored: (run) => this.#adopt(run),
+      onRunRestored: (run) => this.#trackRun(run),
       onGone: (workerId, report) => this.#workers.handleMachineDown(workerId, report)
     })
-    this.#inbox = createReplica(options.log, {
-      store, clock, prefix: inboxPrefix(service), spacingMs: INBOX_SPACING_MS, onChange: (change) => this.#readInbox(change)
+    this.#inboxReplica = createReplica(options.log, {
+      store, clock, prefix: inboxPrefix(service), spacingMs: INBOX_INTERVAL_MS, onChange: (change) => this.#applyInboxChange(change)
     })
   }
 
@@ -131,7 +132,7 @@
       accounts: () => accountsOf(configuration()),
       longestLeaseMs: () => bounds().maxLeaseMs,
       count: (kind) => metrics.count('quota_writes', kind),
-      onChange: () => this.#wake()
+      onChange: () => this.#requestRound()
     })
   }
 
@@ -142,11 +143,11 @@
       fencingToken,
       clock,
       log,
-      registry: this.#book,
+      registry: this.#registry,
       linkOf: (run) => this.#workers.linkOf(run),
       isSetAside: (jobId) => this.#inboxReader.isSetAside(jobId),
-      onChanged: (job) => this.#changed(job),
-      onTicketRefused: (run) => this.#advice.invalidate(run.task),
+      onChanged: (job) => this.#saveProgress(job),
+      onTicketRefused: (run) => this.#adviceCache.invalidate(run.task),
       count: (name, label = service) => metrics.count(name, label)
     })
   }
@@ -156,11 +157,11 @@
       ...this.#options,
       put,
       minTtlMs: () => this.#options.bounds().minTtlMs,
-      flushed: () => this.#commits.flushed(),
+      flushed: () => this.#writer.flushed(),
       longestLeaseMs: () => this.#workers.longestLeaseMs(this.#options.clock.monotonicMs()),
       leasesLeftMs: (instanceId, nowMs) => this.#workers.leasesLeftMs(instanceId, nowMs),
-      isTracked: (instanceId) => !this.#inbox.isListed || this.#workers.isTracked(instanceId),
-      onTimerExpired: () => this.#wake()
+      isTracked: (instanceId) => !this.#inboxReplica.isListed || this.#workers.isTracked(instanceId),
+      onTimerExpired: () => this.#requestRound()
     })
   }
 
@@ -172,15 +173,15 @@
       holdsDuty: mayOrder,
       onReport: (link, report, askedMs) => {
         this.#tracker.applyReport(link, report, askedMs)
-        this.#wake()
+        this.#requestRound()
       },
       onStarted: (run) => this.#tracker.started(run),
       onNotStarted: (link, run, error) => {
         this.#tracker.handleStartFailure(link, run, error)
-        this.#wake()
+        this.#requestRound()
       },
-      ensureDurable: () => this.#commits.flushed(),
-      onFencedOff: () => this.#deposed('a worker obeys a newer holder')
+      ensureDurable: () => this.#writer.flushed(),
+      onFencedOff: () => this.#handleDeposed('a worker follows a newer holder')
     }
     return new WorkerTracker({
       clock,
@@ -188,68 +189,76 @@
       bounds,
       linkOptions,
       silentWorkers: this.#silentWorkers,
-      isVacating: (machineId) => this.#vacator.isVacating(machineId),
-      onWorkerLost: (loss) => this.#crashBook.recordLoss(loss, clock.monotonicMs()),
+      isVacating: (machineId) => this.#drainer.isVacating(machineId),
+      onWorkerLost: (loss) => this.#crashTracker.recordLoss(loss, clock.monotonicMs()),
       onLost: (run, evidence) => {
         this.#options.metrics.record('lost_run_silence', evidence.reason, evidence.silentMs)
-        this.#book.closeRun(run, 'lost', { evidence })
+        this.#registry.closeRun(run, 'lost', { evidence })
       },
-      onMachineDownForgotten: (workerId) => this.#commits.put(goneKey(service, workerId), () => undefined),
-      onMoved: (run) => this.#changed(run.task.job, true),
-      onChange: () => this.#wake()
+      onMachineDownForgotten: (workerId) => this.#writer.put(goneKey(service, workerId), () => undefined),
+      onMoved: (run) => this.#saveProgress(run.task.job, true),
+      onChange: () => this.#requestRound()
     })
   }
 
-  /** Workers are met only once all jobs are known: the end of a run whose job is not would be acknowledged, and lost. */
-  #followWorkers (): void {
-    if (!this.#hasHeardOfAll || !this.#registrationItems.isListed) return
-    this.#workers.updateRegistrations(this.#registrations.read(this.#registrationItems.items))
+  /** Connects workers only once all jobs are loaded: the end of a run whose job is not loaded would be acknowledged, and lost. */
+  #updateWorkers (): void {
+    if (!this.#hasListedInbox || !this.#registrationReplica.isListed) return
+    this.#workers.updateRegistrations(this.#registrations.read(this.#registrationReplica.items))
   }
 
-  /** Schedules until stopped or deposed. */
+  /** Schedules jobs until closed or deposed. */
   async run (): Promise<void> {
     const { clock, service, fencingToken } = this.#options
-    this.#tookOverMs = clock.monotonicMs()
+    this.#startedMs = clock.monotonicMs()
     this.#ledger.start(this.#stop.signal)
-    const registrationsFollowed = this.#registrationItems.run(this.#stop.signal)
+    const registrationsDone = this.#registrationReplica.run(this.#stop.signal)
     if (!await this.#recover()) return
-    this.#log.info({ service, fencingToken, jobs: this.#book.jobs.size, tookMs: clock.monotonicMs() - this.#tookOverMs }, 'scheduling begins')
+    this.#log.info({ service, fencingToken, jobs: this.#registry.jobs.size, tookMs: clock.monotonicMs() - this.#startedMs }, 'scheduling begins')
     await Promise.all([
-      this.#commits.run(), this.#inbox.run(this.#stop.signal), registrationsFollowed, this.#silentWorkers.watchTimers(this.#stop.signal), this.#rounds()
+      this.#writer.run(), this.#inboxReplica.run(this.#stop.signal), registrationsDone, this.#silentWorkers.watchTimers(this.#stop.signal), this.#runRounds()
     ])
   }
 
-  /** Stops at once; what runs goes on under its lease, for the next holder. */
+  /** Stops immediately. Runs continue under their leases, and the next holder takes them over. */
   close (): void {
     if (this.#stop.signal.aborted) return
     this.#stop.abort()
-    this.#wakeRound()
-    this.#commits?.close()
-    this.#advice.close()
+    this.#endRoundWait()
+    this.#writer?.close()
+    this.#adviceCache.close()
     this.#workers.close()
     this.#log.info({ service: this.#options.service, fencingToken: this.#options.fencingToken }, 'scheduling ends')
   }
 
-  /** Writes what is known, for a planned hand-over. @param timeoutMs - how long at most */
+  /**
+   * Writes pending records before a planned handover.
+   *
+   * @param timeoutMs - the longest time to wait for the writes
+   */
   async flush (timeoutMs: number): Promise<void> {
-    if (this.#commits === undefined) return
-    const beganMs = this.#options.clock.monotonicMs()
-    await Promise.race([this.#workers.recordSilentWorkers(beganMs), delay(timeoutMs)])
-    await this.#commits.flushWithin(timeoutMs - (this.#options.clock.monotonicMs() - beganMs))
+    if (this.#writer === undefined) return
+    const startMs = this.#options.clock.monotonicMs()
+    await Promise.race([this.#workers.recordSilentWorkers(startMs), delay(timeoutMs)])
+    await this.#writer.flushWithin(timeoutMs - (this.#options.clock.monotonicMs() - startMs))
   }
 
-  /** Reads what earlier holders recorded. @returns whether that came to an end */
+  /**
+   * Loads the records of previous holders.
+   *
+   * @returns whether they were loaded; false if the scheduler was closed before that
+   */
   async #recover (): Promise<boolean> {
     const { store, service, dutyKey, fencingToken, clock, metrics } = this.#options
-    const [commits, progress, silent] = await Promise.all([
+    const [writer, progress, silent] = await Promise.all([
       openFencedBatchWriter({
         store,
         clock,
         dutyKey,
         dutyRevision: fencingToken,
         chainKey: chainKey(service),
-        onDeposed: () => this.#deposed('the duty has another holder'),
-        onStoreError: (error, transactionNumber) => this.#log.warn({ service, error, transactionNumber }, 'records not written yet'),
+        onDeposed: () => this.#handleDeposed('the duty has another holder'),
+        onStoreError: (error, transactionNumber) => this.#log.warn({ service, error, transactionNumber }, 'records not written, will retry'),
         onCommit: (entries, latencyMs) => {
           metrics.count('records_written', service, entries)
           metrics.record('commit', service, latencyMs)
@@ -258,125 +267,130 @@
       retryUntilAnswered(() => store.list(progressPrefix(service)), this.#stop.signal),
       retryUntilAnswered(async () => (await store.get(silentWorkersKey(service))).map((item) => ({ item })), this.#stop.signal)
     ])
-    if (commits === undefined || progress === undefined || silent === undefined) return false
+    if (writer === undefined || progress === undefined || silent === undefined) return false
     this.#inboxReader.loadProgress(progress.items)
-    this.#commits = commits
-    this.#silentWorkers.restore(silent.item, commits.previousDutyRevision)
+    this.#writer = writer
+    this.#silentWorkers.restore(silent.item, writer.previousDutyRevision)
     return true
   }
 
-  #deposed (reason: string): void {
+  #handleDeposed (reason: string): void {
     if (this.#stop.signal.aborted) return
-    this.#log.warn({ service: this.#options.service, fencingToken: this.#options.fencingToken, reason }, 'deposed')
+    this.#log.warn({ service: this.#options.service, fencingToken: this.#options.fencingToken, reason }, 'scheduler deposed')
     this.close()
     this.#options.onDeposed()
   }
 
-  #readInbox (change: PrefixChange): void {
+  #applyInboxChange (change: PrefixChange): void {
     this.#inboxReader.applyChange(change)
-    if (!this.#hasHeardOfAll) {
-      this.#hasHeardOfAll = true
-      this.#followWorkers()
+    if (!this.#hasListedInbox) {
+      this.#hasListedInbox = true
+      this.#updateWorkers()
     }
-    this.#wake()
+    this.#requestRound()
   }
 
-  /** Placements and ends of jobs are waited for; ends of tasks only keep their worker's list long. */
-  #changed (job: Job, isUrgent = hasEnded(job)): void {
-    this.#commits.put(progressKey(this.#options.service, job.spec.jobId), () => encodeProgress(job), isUrgent)
-    this.#wake()
+  /**
+   * Writes the progress of a job. Placements and ends of jobs are urgent. Ends of tasks may wait: until they are written, the worker only
+   * keeps them in the list that it reports.
+   */
+  #saveProgress (job: Job, isUrgent = hasEnded(job)): void {
+    this.#writer.put(progressKey(this.#options.service, job.spec.jobId), () => encodeProgress(job), isUrgent)
+    this.#requestRound()
   }
 
-  #wake (): void {
+  /** Requests a placement round; requests that come before it share it. */
+  #requestRound (): void {
     this.#isRoundDue = true
-    this.#wakeRound()
+    this.#endRoundWait()
   }
 
-  async #rounds (): Promise<void> {
+  async #runRounds (): Promise<void> {
     const { clock } = this.#options
-    let spacingMs = ROUND_SPACING_MS
+    let spacingMs = MIN_ROUND_INTERVAL_MS
     while (!this.#stop.signal.aborted) {
-      if (!this.#isRoundDue) await this.#untilWoken()
+      if (!this.#isRoundDue) await this.#waitForRequest()
       await delay(spacingMs, this.#stop.signal)
       this.#isRoundDue = false
       if (this.#stop.signal.aborted) return
       const startedMs = clock.monotonicMs()
-      this.#round()
-      spacingMs = Math.max(ROUND_SPACING_MS, (clock.monotonicMs() - startedMs) * ROUND_PAUSES)
+      this.#runRound()
+      spacingMs = Math.max(MIN_ROUND_INTERVAL_MS, (clock.monotonicMs() - startedMs) * PAUSE_PER_ROUND_TIME)
     }
   }
 
-  #untilWoken (): Promise<void> {
+  /** Waits until a round is requested, or until one is due without a request. */
+  #waitForRequest (): Promise<void> {
     return new Promise((resolve) => {
-      const timer = setTimeout(resolve, TICK_MS)
-      this.#wakeRound = () => {
+      const timer = setTimeout(resolve, MAX_ROUND_WAIT_MS)
+      this.#endRoundWait = () => {
         clearTimeout(timer)
         resolve()
       }
     })
   }
 
-  #round (): void {
+  #runRound (): void {
     const nowMs = this.#options.clock.monotonicMs()
     this.#workers.loseExpiredRuns(nowMs)
-    if (!this.#inbox.isListed || !this.#registrationItems.isListed) return
-    this.#vacator.reconcile(this.#workers, nowMs)
-    this.#vacator.drainLeavingWorkers(this.#workers.leaving(this.#registrationItems.steadyForMs(nowMs), nowMs), nowMs)
-    this.#place(nowMs)
-    this.#statusWriter.write([...this.#book.jobs.values()], this.#workers, nowMs)
-    this.#forgetEnded()
+    if (!this.#inboxReplica.isListed || !this.#registrationReplica.isListed) return
+    this.#drainer.reconcile(this.#workers, nowMs)
+    this.#drainer.drainLeavingWorkers(this.#workers.leaving(this.#registrationReplica.steadyForMs(nowMs), nowMs), nowMs)
+    this.#placeTasks(nowMs)
+    this.#statusWriter.write([...this.#registry.jobs.values()], this.#workers, nowMs)
+    this.#removeEndedJobs()
   }
 
-  #place (nowMs: number): void {
+  #placeTasks (nowMs: number): void {
     if (!this.#options.holdsDuty()) return
     const configuration = this.#options.configuration()
     if (configuration === undefined) return
     const round = new PlacementRound({
       configuration,
-      jobs: [...this.#book.jobs.values()],
+      jobs: [...this.#registry.jobs.values()],
       workerViews: this.#workers.links,
       runTimes: this.#times,
-      advice: this.#advice,
+      advice: this.#adviceCache,
       accountQuotaOf: (account) => this.#ledger.quotaFor(account, nowMs),
-      vacating: this.#vacator,
+      vacating: this.#drainer,
       nowMs,
       wallMs: this.#options.clock.wallMs()
     })
     const runs = round.place()
-    for (const run of runs) this.#adopt(run)
+    for (const run of runs) this.#trackRun(run)
     this.#ledger.reconcile(round.quota.shortages, nowMs)
     this.#ledger.warnOversized(round.quota.oversized)
     for (const run of round.runsToStop) this.#tracker.stopRun(run)
     for (const task of round.tasksToGiveUp) {
       if (hasEnded(task.job)) continue
-      this.#book.giveUpTask(task)
-      this.#crashBook.clearOtherJobs(task.job)
+      this.#registry.giveUpTask(task)
+      this.#crashTracker.clearOtherJobs(task.job)
     }
     if (runs.length === 0) return
     for (const job of new Set(runs.map(({ task }) => task.job))) {
-      const placed = runs.filter(({ task }) => task.job === job)
-      this.#log.info({ jobId: job.spec.jobId, runs: placed.map(({ taskKey, runNumber, instanceId }) => `${taskKey}#${runNumber}@${instanceId}`) }, 'tasks placed')
-      this.#changed(job, true)
+      const jobRuns = runs.filter(({ task }) => task.job === job)
+      this.#log.info({ jobId: job.spec.jobId, runs: jobRuns.map(({ taskKey, runNumber, instanceId }) => `${taskKey}#${runNumber}@${instanceId}`) }, 'tasks placed')
+      this.#saveProgress(job, true)
     }
     void this.#starter.start(runs)
   }
 
-  #adopt (run: Run): void {
+  #trackRun (run: Run): void {
     this.#ledger.addRun(run)
     this.#workers.addRun(run)
   }
 
-  /** Ended jobs are removed once nobody is owed an answer about them. */
-  #forgetEnded (): void {
+  /** Removes ended jobs, and their records, after the time for which their state stays available. */
+  #removeEndedJobs (): void {
     const { clock, bounds, service } = this.#options
-    const beforeMs = clock.wallMs() - bounds().keepEndedMs
-    for (const [jobId, job] of this.#book.jobs) {
-      if (job.endedMs === undefined || job.endedMs > beforeMs) continue
-      this.#book.jobs.delete(jobId)
-      for (const key of [jobKey(service, jobId), cancelKey(service, jobId), progressKey(service, jobId)]) this.#commits.put(key, () => undefined)
+    const cutoffMs = clock.wallMs() - bounds().keepEndedMs
+    for (const [jobId, job] of this.#registry.jobs) {
+      if (job.endedMs === undefined || job.endedMs > cutoffMs) continue
+      this.#registry.jobs.delete(jobId)
+      for (const key of [jobKey(service, jobId), cancelKey(service, jobId), progressKey(service, jobId)]) this.#writer.put(key, () => undefined)
     }
   }
 }
 
-/** For jobs of a queue that was removed: what most queues of the users have. */
+/** Attempts for jobs of a queue that was removed from the configuration; the value that most queues have. */
 const DEFAULT_ATTEMPTS = 3
