--- a/packages/scheduler/src/test/DutyElector.test.ts
+++ b/packages/scheduler/src/test/DutyElector.test.ts
@@ -11,7 +11,7 @@
 const TTL_MS = 1200
 const DUTIES = ['duty/a', 'duty/b', 'duty/c', 'duty/d']
 
-/** A host's way to the store, which may be cut, or slow to tell how strong the others are. */
+/** One host's connection to the shared store. It can be cut, and listing the capacities of the hosts can be delayed. */
 class HostStore {
   isCut = false
   hostsDelayMs = 0
@@ -30,7 +30,7 @@
   }
 }
 
-/** What a host does while it has a duty: nothing, but it is noted since when. */
+/** Creates tasks that do nothing, and records which host took each duty last and when. */
 class Tenures {
   readonly holders = new Map<string, { readonly host: string, readonly fromMs: number }>()
 
@@ -54,13 +54,13 @@
     hosts = []
   })
 
-  function addHost (name: string, power: number, dutyKeys: readonly string[] = DUTIES): Host {
-    const own = new HostStore(store)
+  function addHost (name: string, capacityCores: number, dutyKeys: readonly string[] = DUTIES): Host {
+    const hostStore = new HostStore(store)
     const random = new SeededRandom(hosts.length)
     const roster = new DutyElector({
       hostName: name,
-      capacityCores: power,
-      store: own as unknown as KeyValueStore,
+      capacityCores,
+      store: hostStore as unknown as KeyValueStore,
       clock: systemClock,
       log: new TestLog(),
       records: new RecordReader(new TestLog(), new SchedulerMetrics()),
@@ -69,42 +69,42 @@
     })
     for (const dutyKey of dutyKeys) roster.compete(dutyKey, tenures.create(dutyKey, name))
     void roster.run()
-    const host = { roster, store: own, name }
+    const host = { roster, store: hostStore, name }
     hosts.push(host)
     return host
   }
 
-  it('leaves a duty that it hears of before it knows the others to a stronger host', async () => {
+  it('leaves a duty to a larger host if the duty appears before the capacities of the other hosts are known', async () => {
     const key = 'duty/late'
     const puts = [{ key: hostKey('strong'), value: '1' }, { key: hostKey('weak'), value: '0.25' }]
     await store.transact({ conditions: [], puts, removals: [] })
-    const { roster, store: own } = addHost('weak', 0.25, [])
-    own.hostsDelayMs = 150
+    const { roster, store: hostStore } = addHost('weak', 0.25, [])
+    hostStore.hostsDelayMs = 150
     await delay(60)
-    const heardMs = performance.now()
+    const addedMs = performance.now()
     roster.compete(key, tenures.create(key, 'weak'))
-    await untilHeld([key], heardMs, 2000)
-    expect((tenures.holders.get(key)?.fromMs ?? 0) - heardMs).to.be.above(400)
+    await waitUntilHeld([key], addedMs, 2000)
+    expect((tenures.holders.get(key)?.fromMs ?? 0) - addedMs).to.be.above(400)
   })
 
-  async function untilHeld (keys: readonly string[], sinceMs: number, timeoutMs: number): Promise<void> {
+  async function waitUntilHeld (keys: readonly string[], sinceMs: number, timeoutMs: number): Promise<void> {
     const untilMs = performance.now() + timeoutMs
     while (keys.some((key) => (tenures.holders.get(key)?.fromMs ?? 0) < sinceMs)) {
-      if (performance.now() > untilMs) throw new Error(`not taken: ${keys.filter((key) => (tenures.holders.get(key)?.fromMs ?? 0) < sinceMs).join(', ')}`)
+      if (performance.now() > untilMs) throw new Error(`duties not taken in time: ${keys.filter((key) => (tenures.holders.get(key)?.fromMs ?? 0) < sinceMs).join(', ')}`)
       await delay(10)
     }
   }
 
   const cases = [
-    { name: 'hosts as strong as those that are cut off', survivors: [1, 1, 1, 1], timeoutMs: 700 },
-    { name: 'weak hosts only', survivors: [0.25, 0.25, 0.25, 0.25], timeoutMs: 1200 },
-    { name: 'two hosts, weak and strong', survivors: [0.25, 1], timeoutMs: 1500 }
+    { name: 'hosts as large as those that are cut off', survivors: [1, 1, 1, 1], timeoutMs: 700 },
+    { name: 'small hosts only', survivors: [0.25, 0.25, 0.25, 0.25], timeoutMs: 1200 },
+    { name: 'two hosts, a small and a large one', survivors: [0.25, 1], timeoutMs: 1500 }
   ]
   for (const { name, survivors, timeoutMs } of cases) {
-    it(`all duties that end at once are taken at once, by ${name}`, async () => {
+    it(`several duties that become vacant together are all taken in time by ${name}`, async () => {
       const strong = [1, 2, 3, 4].map((number) => addHost(`strong${number}`, 1))
-      await untilHeld(DUTIES, performance.now(), 5000)
-      survivors.forEach((power, index) => addHost(`survivor${index}`, power))
+      await waitUntilHeld(DUTIES, performance.now(), 5000)
+      survivors.forEach((capacityCores, index) => addHost(`survivor${index}`, capacityCores))
       await delay(500)
       for (const host of strong) host.store.isCut = true
       const lostMs = performance.now()
@@ -112,13 +112,13 @@
         const held = (await store.get(key)).unwrap()
         if (held !== undefined) await store.transact({ conditions: [], puts: [], removals: [key] })
       }
-      await untilHeld(DUTIES, lostMs, timeoutMs)
+      await waitUntilHeld(DUTIES, lostMs, timeoutMs)
     }).timeout(20_000)
   }
 
-  it('takes duties without a pause when the fleet starts again', async () => {
+  it('skips the first-start delay when the fleet restarts', async () => {
     const first = addHost('host1', 1)
-    await untilHeld(DUTIES, performance.now(), 5000)
+    await waitUntilHeld(DUTIES, performance.now(), 5000)
     await first.roster.stop()
     hosts = []
     const startedMs = performance.now()
@@ -127,14 +127,14 @@
     expect([...tenures.holders.values()].filter(({ fromMs }) => fromMs > startedMs)).to.not.have.length(0)
   }).timeout(20_000)
 
-  it('leaves a vacant duty to a stronger host that is there', async () => {
+  it('leaves a vacant duty to a larger host that is running', async () => {
     for (const name of ['weak1', 'weak2', 'weak3']) addHost(name, 0.25)
     await store.transact({ conditions: [], puts: [{ key: hostKey('strong'), value: '1' }], removals: [] })
     addHost('strong', 1)
     await delay(400)
     const sinceMs = performance.now()
     for (const key of (await store.list(DUTY_PREFIX)).unwrap().items.map(({ key }) => key)) await store.transact({ conditions: [], puts: [], removals: [key] })
-    await untilHeld(DUTIES, sinceMs, 3000)
+    await waitUntilHeld(DUTIES, sinceMs, 3000)
     expect([...tenures.holders.values()].filter(({ host }) => host === 'strong')).to.not.have.length(0)
   }).timeout(20_000)
 })
--- a/packages/scheduler/src/test/FencedBatchWriter.test.ts
+++ b/packages/scheduler/src/test/FencedBatchWriter.test.ts
@@ -11,7 +11,7 @@
     isDeposed = false
   })
 
-  async function logUnderDuty (): Promise<FencedBatchWriter> {
+  async function createWriter (): Promise<FencedBatchWriter> {
     const duty = (await store.compareAndSwap({ key: 'duty', expectedModRevision: 0, value: 'me' })).unwrap()
     const log = new FencedBatchWriter({
       store,
@@ -28,8 +28,8 @@
   }
   const valueOf = async (key: string): Promise<string | undefined> => (await store.get(key)).unwrap()?.value
 
-  it('writes the value as it is when the transaction is made', async () => {
-    const log = await logUnderDuty()
+  it('writes the value at the time when the transaction is built', async () => {
+    const log = await createWriter()
     let value = 'first'
     log.put('k', () => value, true)
     value = 'second'
@@ -38,16 +38,16 @@
     log.close()
   })
 
-  it('writes more than one transaction holds', async () => {
-    const log = await logUnderDuty()
+  it('splits records over several transactions if they exceed the entry limit', async () => {
+    const log = await createWriter()
     for (let index = 0; index < 70; index++) log.put(`k${index}`, () => String(index))
     expect(await log.flushed()).to.equal(true)
     expect((await store.list('k')).unwrap().items).to.have.length(70)
     log.close()
   })
 
-  it('large records go in several transactions, so that a slow link carries each in time', async () => {
-    const log = await logUnderDuty()
+  it('splits large records over several transactions, so that a slow link transfers each in time', async () => {
+    const log = await createWriter()
     const sizes: number[] = []
     const transact = store.transact.bind(store)
     store.transact = async (transaction) => {
@@ -62,8 +62,8 @@
     log.close()
   })
 
-  it('a transaction whose answer is lost takes effect once, and the next one follows it', async () => {
-    const log = await logUnderDuty()
+  it('applies a transaction whose answer is lost once, and then the next one', async () => {
+    const log = await createWriter()
     let lost = 0
     store.loseAnswers = () => lost++ < 2
     log.put('k', () => 'one', true)
@@ -75,8 +75,8 @@
     log.close()
   })
 
-  it('one that arrives late does not replace what came after it', async () => {
-    const log = await logUnderDuty()
+  it('rejects a transaction that arrives late, after a newer one', async () => {
+    const log = await createWriter()
     const late: Array<() => Promise<unknown>> = []
     const transact = store.transact.bind(store)
     let isFirst = true
@@ -85,7 +85,7 @@
       isFirst = false
       late.push(() => transact(transaction))
       store.loseAnswers = () => false
-      return await transact({ conditions: [{ key: 'no such key', modRevision: 9 }], puts: [], removals: [] }).then(() => store.isDown ? transact(transaction) : lostAnswer())
+      return await transact({ conditions: [{ key: 'no such key', modRevision: 9 }], puts: [], removals: [] }).then(() => store.isDown ? transact(transaction) : transactWithoutAnswer())
     }
     log.put('k', () => 'one', true)
     await log.flushed()
@@ -96,8 +96,8 @@
     log.close()
   })
 
-  it('writes nothing once the duty has another holder', async () => {
-    const log = await logUnderDuty()
+  it('writes nothing after another holder has taken the duty', async () => {
+    const log = await createWriter()
     log.put('k', () => 'mine', true)
     await log.flushed()
     await store.transact({ conditions: [], puts: [{ key: 'duty', value: 'other' }], removals: [] })
@@ -107,8 +107,8 @@
     expect(await valueOf('k')).to.equal('mine')
   })
 
-  it('waits while the store is down, and then writes', async () => {
-    const log = await logUnderDuty()
+  it('waits while the store is down, and writes once it is back', async () => {
+    const log = await createWriter()
     store.isDown = true
     log.put('k', () => 'v', true)
     const written = log.flushed()
@@ -119,7 +119,7 @@
   })
 })
 
-async function lostAnswer (): Promise<Awaited<ReturnType<FaultyStore['transact']>>> {
+async function transactWithoutAnswer (): Promise<Awaited<ReturnType<FaultyStore['transact']>>> {
   const lossy = new FaultyStore()
   lossy.loseAnswers = () => true
   return await lossy.transact({ conditions: [], puts: [], removals: [] })
--- a/packages/scheduler/src/test/SchedulerFuzz.test.ts
+++ b/packages/scheduler/src/test/SchedulerFuzz.test.ts
@@ -3,23 +3,23 @@
 import type { JobId } from '@quillscale/policy'
 import { TestService, type Tenure } from './TestService.js'
 
-/** What the oracle remembers of a job: what was asked for, and what its client was told. */
-interface Asked { readonly jobId: JobId, readonly taskCounts: readonly number[], cancelledMs: number | undefined }
+/** What the oracle records of a job: its tasks, and whether its cancellation was acknowledged. */
+interface SubmittedJob { readonly jobId: JobId, readonly taskCounts: readonly number[], cancelledMs: number | undefined }
 
 const WORKERS = 4
 const ACTIONS = 45
 const MEAN_GAP_MS = 40
 const LEASE_MS = 600
-/** After a cancel was acknowledged, orders on their way may still start something for so long. */
+/** How long orders in flight may still start tasks after a cancellation was acknowledged. */
 const CANCEL_MS = 1000
 const SEEDS = process.env.FUZZ_SEED === undefined ? [11, 12, 13, 14] : [Number(process.env.FUZZ_SEED)]
 
-/** One service under random actions, and the oracle's memory of it. */
+/** Runs one service under random actions, and records what the oracle needs to check it. */
 class Fuzz {
   readonly service = new TestService(WORKERS, 4000)
-  readonly asked: Asked[] = []
+  readonly submittedJobs: SubmittedJob[] = []
   readonly #random: SeededRandom
-  readonly #lives = new Map<number, number>()
+  readonly #lifetimes = new Map<number, number>()
   #tenure: Tenure | undefined
   #nextNumber = 1
 
@@ -32,16 +32,16 @@
     await this.#takeOver()
     const actions: Array<() => Promise<void> | void> = [
       () => this.#submit(), () => this.#submit(), () => this.#submit(), () => this.#submit(), () => this.#cancel(), () => this.#takeOver(),
-      () => this.#replaceWorker(), () => this.#worker({ isSilent: true }), () => this.#worker({ losesAnswers: true }),
-      () => this.#worker({ startsLateMs: 60 }),
-      () => this.#heal(), () => this.#heal(), () => { this.service.store.isDown = true },
+      () => this.#replaceWorker(), () => this.#injectWorkerFaults({ isSilent: true }), () => this.#injectWorkerFaults({ losesAnswers: true }),
+      () => this.#injectWorkerFaults({ startsLateMs: 60 }),
+      () => this.#clearFaults(), () => this.#clearFaults(), () => { this.service.store.isDown = true },
       () => { this.service.store.loseAnswers = () => this.#random.next() < 0.4 }
     ]
     for (let count = 0; count < ACTIONS; count++) {
       await this.#random.pick(actions)()
       await delay(this.#random.exponentialMs(MEAN_GAP_MS))
     }
-    await this.#heal()
+    await this.#clearFaults()
     await this.#takeOver()
   }
 
@@ -50,19 +50,19 @@
     const steps = taskCounts.map((taskCount, index) => ({ taskCount, dependsOn: index === 0 ? [] : [index - 1] }))
     const number = this.#nextNumber++
     const jobId = await this.service.submit(number, { runMs: 10 + this.#random.integer(80) }, steps)
-    const isThere = (await this.service.store.get(`inbox/checks/${jobId}`)).unwrapOr(undefined) !== undefined
-    if (isThere) this.asked.push({ jobId, taskCounts, cancelledMs: undefined })
+    const isStored = (await this.service.store.get(`inbox/checks/${jobId}`)).unwrapOr(undefined) !== undefined
+    if (isStored) this.submittedJobs.push({ jobId, taskCounts, cancelledMs: undefined })
   }
 
   async #cancel (): Promise<void> {
-    const job = this.asked.length === 0 ? undefined : this.#random.pick(this.asked)
+    const job = this.submittedJobs.length === 0 ? undefined : this.#random.pick(this.submittedJobs)
     if (job === undefined || job.cancelledMs !== undefined) return
-    const outcome = await this.service.desk.cancel(job.jobId, ['checks'], performance.now() + 500)
+    const outcome = await this.service.jobApi.cancel(job.jobId, ['checks'], performance.now() + 500)
     if (outcome === 'accepted') job.cancelledMs = performance.now()
   }
 
   async #takeOver (): Promise<void> {
-    // The former holder is not told: it finds out by its next transaction or order.
+    // The previous holder isn't informed: it notices by its next transaction or order.
     if (this.#tenure !== undefined && this.#random.next() < 0.5) this.#tenure.scheduler.close()
     if (this.service.store.isDown) return
     this.#tenure = await this.service.takeOver()
@@ -70,28 +70,28 @@
 
   #replaceWorker (): void {
     const index = this.#random.integer(WORKERS)
-    const life = this.#lives.get(index) ?? 1
+    const life = this.#lifetimes.get(index) ?? 1
     this.service.runs.workers.get(`w${index}-${life}`)?.crash()
     this.service.unlist(`w${index}-${life}`)
-    this.#lives.set(index, life + 1)
+    this.#lifetimes.set(index, life + 1)
     this.service.addWorker(index, life + 1)
   }
 
-  #worker (faults: Partial<{ isSilent: boolean, losesAnswers: boolean, startsLateMs: number }>): void {
+  #injectWorkerFaults (faults: Partial<{ isSilent: boolean, losesAnswers: boolean, startsLateMs: number }>): void {
     const index = this.#random.integer(WORKERS)
-    Object.assign(this.service.runs.workers.get(`w${index}-${this.#lives.get(index) ?? 1}`)?.faults ?? {}, faults)
+    Object.assign(this.service.runs.workers.get(`w${index}-${this.#lifetimes.get(index) ?? 1}`)?.faults ?? {}, faults)
   }
 
-  async #heal (): Promise<void> {
+  async #clearFaults (): Promise<void> {
     this.service.store.isDown = false
     this.service.store.loseAnswers = () => false
-    await this.service.deskStore.get('any')
+    await this.service.jobApiStore.get('any')
     for (const { faults } of this.service.runs.workers.values()) Object.assign(faults, { isSilent: false, losesAnswers: false, startsLateMs: 0 })
   }
 
-  /** Waits until every job has come to its end. */
+  /** Waits until every job has ended. */
   async settle (): Promise<void> {
-    for (const { jobId, cancelledMs } of this.asked) {
+    for (const { jobId, cancelledMs } of this.submittedJobs) {
       await this.service.until(`${jobId} has ended`, async () => {
         const status = await this.service.status(jobId)
         return status === 'succeeded' || (cancelledMs !== undefined && status === 'cancelled')
@@ -99,35 +99,35 @@
     }
   }
 
-  /** What the rules say must never be seen. */
+  /** Lists the violations of the scheduler's rules. */
   violations (): string[] {
     const { records } = this.service.runs
     const doneMs = (jobId: JobId, step: number, index: number): number =>
       Math.min(...records.filter(({ taskKey, end }) => taskKey === `${jobId}.0.${step}.${index}` && end === 'done').map(({ endedMs }) => endedMs ?? Infinity))
-    const found = this.service.duplicatedTasks.map((taskKey) => `${taskKey} ran twice`)
-    for (const { jobId, taskCounts, cancelledMs } of this.asked) {
+    const violationTexts = this.service.duplicatedTasks.map((taskKey) => `${taskKey} ran twice`)
+    for (const { jobId, taskCounts, cancelledMs } of this.submittedJobs) {
       for (const { taskKey, startedMs } of records.filter((record) => record.taskKey.startsWith(jobId))) {
         const step = Number(taskKey.split('.')[2])
         const before = Array.from({ length: step === 0 ? 0 : taskCounts[step - 1] ?? 0 }, (_, index) => doneMs(jobId, step - 1, index))
         const isEarly = before.some((atMs) => atMs > startedMs)
-        if (isEarly) found.push(`${taskKey} started before the step before it was done`)
-        if (cancelledMs !== undefined && startedMs > cancelledMs + CANCEL_MS) found.push(`${taskKey} started after its cancel`)
+        if (isEarly) violationTexts.push(`${taskKey} started before the previous step was done`)
+        if (cancelledMs !== undefined && startedMs > cancelledMs + CANCEL_MS) violationTexts.push(`${taskKey} started after its cancellation`)
       }
       const isWhole = taskCounts.every((count, step) => Array.from({ length: count }, (_, index) => doneMs(jobId, step, index))
         .every((atMs) => atMs < Infinity))
-      if (cancelledMs === undefined && !isWhole) found.push(`${jobId} is shown as succeeded and is not`)
+      if (cancelledMs === undefined && !isWhole) violationTexts.push(`${jobId} is reported as succeeded but has tasks that are not done`)
     }
-    const known = new Set(this.asked.map(({ jobId }) => jobId as string))
-    return [...found, ...records.filter(({ taskKey }) => !known.has(taskKey.split('.')[0] ?? '')).map(({ taskKey }) => `${taskKey} was not asked for`)]
+    const submittedJobIds = new Set(this.submittedJobs.map(({ jobId }) => jobId as string))
+    return [...violationTexts, ...records.filter(({ taskKey }) => !submittedJobIds.has(taskKey.split('.')[0] ?? '')).map(({ taskKey }) => `${taskKey} belongs to no submitted job`)]
   }
 }
 
-describe('scheduler under races, against an oracle', () => {
+describe('scheduler under random faults, checked against an oracle', () => {
   let fuzz: Fuzz
   afterEach(() => fuzz.service.close())
 
   for (const seed of SEEDS) {
-    it(`keeps its rules with seed ${seed}`, async () => {
+    it(`violates no rule with seed ${seed}`, async () => {
       fuzz = new Fuzz(seed)
       await fuzz.run()
       await fuzz.settle()
@@ -135,7 +135,7 @@
     }).timeout(60_000)
   }
 
-  it('catches a task that somebody starts once more', async () => {
+  it('the oracle detects a task that is started again after its end', async () => {
     fuzz = new Fuzz(1)
     await fuzz.run()
     await fuzz.settle()
--- a/packages/scheduler/src/test/ServiceScheduler.test.ts
+++ b/packages/scheduler/src/test/ServiceScheduler.test.ts
@@ -9,7 +9,7 @@
   let service: TestService
   afterEach(() => service.close())
 
-  it('runs steps in the order of their dependencies, and shows the job as succeeded', async () => {
+  it('runs steps in the order of their dependencies, and reports the job as succeeded', async () => {
     service = new TestService(2)
     await service.takeOver()
     const jobId = await service.submit(1, { runMs: 20 }, [{ taskCount: 3 }, { taskCount: 2, dependsOn: [0] }])
@@ -21,7 +21,7 @@
     expect(secondStart).to.be.at.least(firstEnd)
   })
 
-  it('a job sent twice is one job', async () => {
+  it('runs a job that is submitted twice only once', async () => {
     service = new TestService(1)
     await service.takeOver()
     const jobId = await service.submit(1, { runMs: 10 }, [{}], 2)
@@ -29,7 +29,7 @@
     expect(service.runs.records).to.have.length(1)
   })
 
-  it('a job whose task fails as often as the queue allows has failed, and is not tried again', async () => {
+  it('fails a job whose task has used up the attempts of its queue, and does not retry it', async () => {
     service = new TestService(2)
     await service.takeOver()
     const jobId = await service.submit(1, { runMs: 10, fails: true })
@@ -38,18 +38,18 @@
     expect(service.runs.records).to.have.length(2)
   })
 
-  it('a cancelled job is stopped, and shown so', async () => {
+  it('stops a cancelled job, and reports it as cancelled', async () => {
     service = new TestService(1)
     await service.takeOver()
     const jobId = await service.submit(1, { runMs: 0 }, [{ taskCount: 2, isLasting: true }])
     await service.until('both run', () => service.runs.records.length === 2)
-    expect(await service.desk.cancel(jobId, [SERVICE], performance.now() + 1000)).to.equal('accepted')
+    expect(await service.jobApi.cancel(jobId, [SERVICE], performance.now() + 1000)).to.equal('accepted')
     await service.untilStatus(jobId, 'cancelled')
     await service.until('both stopped', () => service.runs.records.every(({ end }) => end === 'stopped'))
     expect(service.runs.records).to.have.length(2)
   })
 
-  it('runs of a worker whose machine is down run again elsewhere at once, and its registration is not believed', async () => {
+  it('reruns the tasks of a worker whose machine is down on another worker at once, although the worker is still registered', async () => {
     service = new TestService(2)
     service.maxLeaseMs = 10_000
     await service.takeOver()
@@ -61,22 +61,22 @@
     await service.until('it runs again', () => service.runs.records.length === 2, 1000)
     expect(service.runs.records[1]?.instanceId).not.to.equal(lostId)
     service.unlist(lostId)
-    await service.until('the note is removed', async () => (await service.store.get(goneKey(SERVICE, workerIdOf(lostId)))).unwrap() === undefined)
+    await service.until('the report is removed', async () => (await service.store.get(goneKey(SERVICE, workerIdOf(lostId)))).unwrap() === undefined)
   })
 
-  const leavings = [
-    { name: 'says that it drains', leave: () => { service.addWorker(0, 1, 2000, 'draining') } },
-    { name: 'is not registered any more and serves on', leave: () => service.unlist('w0-1') }
+  const departures = [
+    { name: 'is registered as draining', leave: () => { service.addWorker(0, 1, 2000, 'draining') } },
+    { name: 'is no longer registered but keeps running', leave: () => service.unlist('w0-1') }
   ]
-  for (const { name, leave } of leavings) {
-    it(`lasting tasks of a worker that ${name} move, no more at once than may be away`, async () => {
+  for (const { name, leave } of departures) {
+    it(`moves the lasting tasks of a worker that ${name}, within the limit of tasks that may be away at once`, async () => {
       service = new TestService(1, 2000)
       service.maxLeaseMs = 10_000
       await service.takeOver()
       await service.submit(1, { runMs: 0 }, [{ taskCount: 2, isLasting: true, maxAway: 1 }])
       const leaving = service.runs.workers.get('w0-1') as StandInWorker
-      await service.until('both are at work', () => leaving.active.size === 2)
-      // A registration that is missing right after the store was away would only be late.
+      await service.until('both run', () => leaving.active.size === 2)
+      // A registration that is missing shortly after the first list counts as late, not as removed.
       await delay(2600)
       const next = service.addWorker(1, 1, 2000)
       leave()
@@ -86,7 +86,7 @@
     })
   }
 
-  it('a lasting task whose worker crashed runs again elsewhere once its lease is over', async () => {
+  it('reruns a lasting task whose worker crashed on another worker after its lease has expired', async () => {
     service = new TestService(2)
     await service.takeOver()
     await service.submit(1, { runMs: 0 }, [{ isLasting: true }])
@@ -97,8 +97,8 @@
     expect(service.runs.records[1]?.instanceId).not.to.equal(first?.instanceId)
   })
 
-  describe('a next holder', () => {
-    it('notes ends that came while nobody held the duty, also when it meets workers before it has read the jobs', async () => {
+  describe('a new holder', () => {
+    it('records ends that came while nobody held the duty, even if it could connect workers before it has read the jobs', async () => {
       service = new TestService(2)
       const first = await service.takeOver()
       const jobId = await service.submit(1, { runMs: 150 }, [{ taskCount: 4 }])
@@ -114,7 +114,7 @@
       expect(service.runs.records, service.log.lines.join('\n')).to.have.length(4)
     })
 
-    it('asks for its workers while it reads the jobs: a list on a slow link is waited for once, not once each', async () => {
+    it('lists workers and jobs in parallel, so that it waits for only one list on a slow link', async () => {
       service = new TestService(2)
       const former = await service.takeOver()
       former.scheduler.close()
@@ -126,7 +126,7 @@
       expect(performance.now() - tookOverMs).to.be.below(1100)
     })
 
-    it('goes on with what runs', async () => {
+    it('continues the current runs', async () => {
       service = new TestService(2)
       await service.takeOver()
       const jobId = await service.submit(1, { runMs: 400 }, [{ taskCount: 4 }])
@@ -137,7 +137,7 @@
       expect(service.duplicatedTasks).to.deep.equal([])
     })
 
-    it('makes no copies of what runs before its workers had time to answer', async () => {
+    it('starts no copies of current runs before the workers had time to answer', async () => {
       service = new TestService(2)
       await service.takeOver()
       const jobId = await service.submit(1, { runMs: 600 }, [{ taskCount: 4, allowsCopies: true, maxPerWorker: 3 }])
@@ -149,18 +149,18 @@
       expect(service.runs.records).to.have.length(4)
     })
 
-    it('deposes the former one, whose orders have no effect any more', async () => {
+    it('deposes the previous holder, whose orders no longer have an effect', async () => {
       service = new TestService(1)
       const first = await service.takeOver()
-      await service.until('it is met', () => service.log.lines.some((line) => line.startsWith('worker met')))
+      await service.until('it is connected', () => service.log.lines.some((line) => line.startsWith('worker met')))
       await service.takeOver()
       const jobId = await service.submit(1, { runMs: 20 }, [{ taskCount: 3 }])
       await service.untilStatus(jobId, 'succeeded')
-      await service.until('the former is deposed', () => first.isDeposed)
+      await service.until('the previous holder is deposed', () => first.isDeposed)
       expect(service.duplicatedTasks).to.deep.equal([])
     })
 
-    it('leaves a task on a worker that does not answer alone until its lease is over', async () => {
+    it('does not rerun a task of an unresponsive worker before its lease has expired', async () => {
       service = new TestService(2)
       const first = await service.takeOver()
       await service.submit(1, { runMs: 0 }, [{ isLasting: true }])
@@ -175,7 +175,7 @@
     })
   })
 
-  it('a start without an answer is stopped before the task is placed again, also if it is carried out late', async () => {
+  it('stops a start that was not answered before it places the task again, even if the worker carries the start out late', async () => {
     service = new TestService(2)
     service.maxLeaseMs = 4000
     await service.takeOver()
@@ -187,7 +187,7 @@
     expect(service.duplicatedTasks).to.deep.equal([])
   })
 
-  it('lost answers of the store neither lose nor double work', async () => {
+  it('neither loses nor duplicates work when answers of the store are lost', async () => {
     service = new TestService(3)
     let calls = 0
     service.store.loseAnswers = () => ++calls % 3 === 0
@@ -197,7 +197,7 @@
     expect(service.runs.records).to.have.length(16)
   })
 
-  it('ends are not acknowledged while the store is away, and are not lost', async () => {
+  it('does not acknowledge ends while the store is down, and does not lose them', async () => {
     service = new TestService(1)
     await service.takeOver()
     const jobId = await service.submit(1, { runMs: 150 }, [{ taskCount: 2 }])
@@ -211,19 +211,19 @@
     expect(service.runs.records).to.have.length(2)
   })
 
-  it('a draining worker gets no new work', async () => {
+  it('places no new work on a draining worker', async () => {
     service = new TestService(1)
     const draining = service.runs.workers.get('w0-1')
     await service.takeOver()
     if (draining !== undefined) service.list({ ...draining.instance, state: 'draining' })
     service.addWorker(1, 1)
-    await service.until('the other is met', () => service.log.lines.some((line) => line.startsWith('worker met') && line.includes('w1-1')))
+    await service.until('the other is connected', () => service.log.lines.some((line) => line.startsWith('worker met') && line.includes('w1-1')))
     const jobId = await service.submit(1, { runMs: 10 }, [{ taskCount: 4 }])
     await service.untilStatus(jobId, 'succeeded')
     expect(draining?.records).to.have.length(0)
   })
 
-  it('a task whose worker is silent gets a copy before its lease is over, where copies are allowed', async () => {
+  it('starts a copy of a task whose worker is silent before its lease has expired, if copies are allowed', async () => {
     service = new TestService(2)
     service.maxLeaseMs = 60_000
     await service.takeOver()
@@ -235,23 +235,23 @@
     expect(service.runs.records.map(({ instanceId }) => instanceId)).to.have.length(2)
   })
 
-  it('a job whose starts get no answer waits, and is counted so', async () => {
+  it('reports and counts a job as waiting while its starts get no answer', async () => {
     service = new TestService(1)
     await service.takeOver()
-    await service.until('it is met', () => service.log.lines.some((line) => line.startsWith('worker met')))
+    await service.until('it is connected', () => service.log.lines.some((line) => line.startsWith('worker met')))
     await delay(50)
     for (const worker of service.runs.workers.values()) worker.faults.isSilent = true
     const jobId = await service.submit(1, { runMs: 20 })
     await service.until('it was placed', () => service.log.lines.some((line) => line.startsWith('tasks placed')))
     await delay(1300)
-    expect(await service.desk.countWaiting(QUEUE, SERVICE, performance.now() + 1000)).to.equal(1)
+    expect(await service.jobApi.countWaiting(QUEUE, SERVICE, performance.now() + 1000)).to.equal(1)
     expect(await service.status(jobId)).to.equal('queued')
     service.tenures[0]?.scheduler.close()
     await delay(2600)
-    expect(await service.desk.countWaiting(QUEUE, SERVICE, performance.now() + 1000)).to.equal(1)
+    expect(await service.jobApi.countWaiting(QUEUE, SERVICE, performance.now() + 1000)).to.equal(1)
   })
 
-  it('a cancel that is listed before its job holds', async () => {
+  it('applies a cancellation that is listed before its job', async () => {
     service = new TestService(1)
     const jobId = await service.submit(1, { runMs: 0 }, [{ isLasting: true }])
     service.write(cancelKey(SERVICE, jobId), '1')
@@ -260,13 +260,13 @@
     expect(service.runs.records).to.have.length(0)
   })
 
-  it('a next holder takes no lasting task away while another of its step, stopped by the former one, is away', async () => {
+  it('a new holder evicts no lasting task while another of the same step, which the previous holder stopped, is away', async () => {
     service = new TestService(2, 1000)
     service.maxLeaseMs = 10_000
     const [first, second] = ['w1-1', 'w0-1'].map((instanceId) => service.runs.workers.get(instanceId) as StandInWorker)
     const former = await service.takeOver()
     await service.submit(1, { runMs: 0 }, [{ taskCount: 2, isLasting: true, maxAway: 1 }])
-    await service.until('both are at work', () => first?.active.size === 1 && second?.active.size === 1)
+    await service.until('both run', () => first?.active.size === 1 && second?.active.size === 1)
     await delay(100)
     if (first !== undefined) first.stopTakesMs = 400
     const next = service.addWorker(2, 1, 2000)
--- a/packages/scheduler/src/test/TestService.ts
+++ b/packages/scheduler/src/test/TestService.ts
@@ -1,5 +1,5 @@
 /**
- * One service on stand-ins: a store with faults, workers, and schedulers that take over from each other.
+ * Test harness for one service: a store that can fail, simulated workers, and schedulers that take over from each other.
  *
  * @module
  */
@@ -23,31 +23,31 @@
 
 /** The service under test. */
 export const SERVICE = 'checks'
-/** Its queue. */
+/** The queue of its jobs. */
 export const QUEUE = 'queue'
 const WORKERS_PREFIX = 'workers/'
 const DUTY_KEY = serviceDutyKey(SERVICE)
 const DEADLINE_MS = 2000
-/** As {@link TestService.list} writes it. */
+/** Decodes a registration that {@link TestService.list} wrote. */
 const workerSchema = z.object({ instanceId: z.string(), service: z.string(), port: z.number() }).loose().transform((raw) => raw as unknown as WorkerInstance)
-const POLL_MS = 5
-/** The clock of a worker that has started again shows an earlier time than it did before. */
+const POLL_INTERVAL_MS = 5
+/** The clock of a restarted worker is this much behind its clock before the restart. */
 const RESTARTED_CLOCK_SHIFT_MS = 3_600_000
-/** Asks for all jobs of a test, whichever account handed them in. */
-const TEST_CALLER: JobOwner = { account: 'test' as AccountName, keyTag: 'test' }
+/** The account that queries all jobs of a test, whichever account submitted them. */
+const TEST_OWNER: JobOwner = { account: 'test' as AccountName, keyTag: 'test' }
 
-/** A store that is slow in parts, or whose answers are lost. */
+/** An in-memory store that can be slow, unavailable, or lose its answers. */
 export class FaultyStore extends MemoryKeyValueStore {
-  /** How long a list of a prefix takes. */
+  /** How long listing a prefix takes. */
   readonly listDelayMs = new Map<string, number>()
-  /** Share of transactions that take effect without an answer. */
+  /** Decides for each transaction whether it takes effect without an answer. */
   loseAnswers = (): boolean => false
   isDown = false
-  /** Writes are refused, as by a store whose rate is used up; reads are not. */
+  /** Refuses writes but not reads, as a store does whose write rate limit is exhausted. */
   refusesWrites = false
-  /** How long a write takes to have its effect, and how long its answer takes then. */
+  /** Delay of a write before it takes effect, and again before its answer. */
   writeDelayMs = (): number => 0
-  /** How long the answers take by which a timer for silent workers is made: its lease, and its key. */
+  /** Additional delay of the two answers when a timer for silent workers is created: that of its lease and that of its key. */
   timerAnswerMs = 0
 
   override async list (prefix: string): Promise<Result<{ items: readonly KeyValue[], revision: number }, PlatformError>> {
@@ -84,9 +84,9 @@
 
 const down = <T>(): Result<T, PlatformError> => Err({ kind: 'unavailable', detail: 'down' })
 
-/** Collects lines, so that a failed test can show them. */
+/** Collects log lines, so that a failed test can print them. */
 export class TestLog implements EventLog {
-  /** What the program would write. */
+  /** The log lines from level info up. */
   readonly lines: string[] = []
   debug (): void {
     // Below the level that is written.
@@ -99,28 +99,33 @@
   }
 }
 
-/** @param number - any @returns a job id */
+/**
+ * Creates a job id from a number.
+ *
+ * @param number - the number
+ * @returns the job id
+ */
 export const testJobId = (number: number): JobId => number.toString(16).padStart(16, '0') as JobId
 
-/** One scheduler's tenure. */
+/** The time for which one scheduler holds the duty. */
 export interface Tenure {
   readonly scheduler: ServiceScheduler
   readonly fencingToken: number
-  /** Whether the grant counts as held; a test may take it away. */
+  /** Whether the scheduler believes that it holds the duty; a test may clear it. */
   holdsDuty: boolean
   isDeposed: boolean
 }
 
-/** The harness. */
+/** Runs one service with simulated workers, a faulty store and the job API. */
 export class TestService {
   readonly store = new FaultyStore()
   readonly runs: StandInRuns
   readonly log = new TestLog()
   readonly metrics = new SchedulerMetrics()
   readonly records = new RecordReader(this.log, this.metrics)
-  /** In the program other calls find out that the store is back; here a test has to make one. */
-  readonly deskStore: MonitoredStore
-  readonly desk: JobApi
+  /** In production other calls notice that the store has recovered; a test has to make a call here for that. */
+  readonly jobApiStore: MonitoredStore
+  readonly jobApi: JobApi
   readonly tenures: Tenure[] = []
   maxLeaseMs = 1000
   configuration: FleetConfiguration = {
@@ -130,21 +135,33 @@
     queues: [{ name: QUEUE, host: 'h', pathPrefix: '/q/', service: SERVICE, priority: 0, attempts: 2, stretch: 2, targetLatencyMs: 100, timeoutMs: 3000 }]
   }
 
-  /** @param workers - how many @param cpuMillis - of each @param bornMs - Unix time of their start, `undefined` where they do not tell */
+  /**
+   * @param workers - number of workers
+   * @param cpuMillis - CPU capacity of each
+   * @param bornMs - Unix time of their start, `undefined` if they don't report it
+   */
   constructor (workers: number, cpuMillis = 4000, readonly bornMs?: number) {
-    this.runs = new StandInRuns(systemClock, (taskKey) => ({ cpuMillis: this.#cpuOf(taskKey), memoryMb: 0, gpus: 0 }))
-    this.deskStore = new MonitoredStore(this.store, systemClock)
-    this.desk = new JobApi({ store: this.deskStore, clock: systemClock, log: this.log, records: this.records })
+    this.runs = new StandInRuns(systemClock, (taskKey) => ({ cpuMillis: this.#cpuMillisOf(taskKey), memoryMb: 0, gpus: 0 }))
+    this.jobApiStore = new MonitoredStore(this.store, systemClock)
+    this.jobApi = new JobApi({ store: this.jobApiStore, clock: systemClock, log: this.log, records: this.records })
     for (let index = 0; index < workers; index++) this.addWorker(index, 1, cpuMillis)
   }
 
-  readonly #cpu = new Map<string, number>()
-  #cpuOf (taskKey: string): number {
+  readonly #cpuMillisByStep = new Map<string, number>()
+  #cpuMillisOf (taskKey: string): number {
     const [jobId, , step] = taskKey.split('.')
-    return this.#cpu.get(`${jobId}.${step}`) ?? 1000
+    return this.#cpuMillisByStep.get(`${jobId}.${step}`) ?? 1000
   }
 
-  /** Registers a lifetime. @param index - of the machine @param life - from 1 @param cpuMillis - its size @returns the worker */
+  /**
+   * Registers one lifetime of a worker.
+   *
+   * @param index - number of the machine
+   * @param life - number of the lifetime, from 1
+   * @param cpuMillis - CPU capacity
+   * @param state - the state in its registration
+   * @returns the worker
+   */
   addWorker (index: number, life: number, cpuMillis = 4000, state: WorkerInstance['state'] = 'ready'): StandInWorker {
     const instance: WorkerInstance = {
       instanceId: createInstanceId(`w${index}-${life}` as WorkerId, this.bornMs),
@@ -162,55 +179,77 @@
   }
 
   /**
-   * Ends a lifetime, and begins another one under its id that knows nothing of it.
+   * Restarts a worker: ends its lifetime and begins another under the same worker id, without the state of the first.
    *
-   * @param worker - that starts again
-   * @param isRegistered - whether it says so in its entry already
-   * @param bornMs - Unix time of its start
+   * @param worker - the worker to restart
+   * @param isNewRegistered - whether the new lifetime is registered already
+   * @param bornMs - Unix time of the new start
    * @returns the new lifetime
    */
-  restartWorker (worker: StandInWorker, isRegistered = true, bornMs = Date.now()): StandInWorker {
+  restartWorker (worker: StandInWorker, isNewRegistered = true, bornMs = Date.now()): StandInWorker {
     worker.crash()
     const { instanceId } = worker.instance
     const instance: WorkerInstance = { ...worker.instance, instanceId: createInstanceId(workerIdOf(instanceId), Math.max(bornMs, (bornMsOf(instanceId) ?? 0) + 1)), state: 'ready' }
     const next = this.runs.add(instance)
     next.clockShiftMs = worker.clockShiftMs - RESTARTED_CLOCK_SHIFT_MS
-    if (isRegistered) this.list(instance)
+    if (isNewRegistered) this.list(instance)
     return next
   }
 
-  /** @param instance - as it registers itself */
+  /**
+   * Writes the registration of a worker.
+   *
+   * @param instance - the registration
+   */
   list (instance: WorkerInstance): void {
     this.#set(`${WORKERS_PREFIX}${workerIdOf(instance.instanceId)}`, JSON.stringify(instance))
   }
 
-  /** @param instanceId - whose registration ends */
+  /**
+   * Removes the registration of a worker.
+   *
+   * @param instanceId - the registered lifetime
+   */
   unlist (instanceId: string): void {
     this.#set(`${WORKERS_PREFIX}${workerIdOf(instanceId)}`, undefined)
   }
 
-  /** Writes a key as somebody else. @param key - which @param value - `undefined` removes it */
+  /**
+   * Writes a key directly, without the faults of the store.
+   *
+   * @param key - the key
+   * @param value - the value, `undefined` removes the key
+   */
   #set (key: string, value: string | undefined): void {
-    const isGone = value === undefined
-    void MemoryKeyValueStore.prototype.transact.call(this.store, { conditions: [], puts: isGone ? [] : [{ key, value }], removals: isGone ? [key] : [] })
+    const isRemoval = value === undefined
+    void MemoryKeyValueStore.prototype.transact.call(this.store, { conditions: [], puts: isRemoval ? [] : [{ key, value }], removals: isRemoval ? [key] : [] })
   }
 
-  /** Writes into the scheduler's inbox, as the holder of machine upkeep does. @param key - which @param value - what */
+  /**
+   * Writes a key as another process would, for example the holder of the machine duty.
+   *
+   * @param key - the key
+   * @param value - the value, `undefined` removes the key
+   */
   write (key: string, value: string | undefined): void {
     this.#set(key, value)
   }
 
   /**
-   * Tells, as the holder of machines does, that a list shows a worker's machine down.
+   * Reports a worker's machine as down, as the holder of the machine duty does.
    *
-   * @param instance - of the worker
-   * @param listedWallMs - when the list was asked for
+   * @param instance - the worker
+   * @param listedWallMs - Unix time at which the list of machines was requested
    */
   reportGone ({ instanceId, machineId }: Pick<WorkerInstance, 'instanceId' | 'machineId'>, listedWallMs = Date.now()): void {
     this.write(goneKey(SERVICE, workerIdOf(instanceId)), encodeMachineLossReport({ machineId, listedWallMs }))
   }
 
-  /** Takes the duty, whoever had it. @returns the new tenure */
+  /**
+   * Starts a new scheduler that takes the duty from any current holder.
+   *
+   * @returns the new tenure
+   */
   async takeOver (): Promise<Tenure> {
     this.#set(DUTY_KEY, undefined)
     const taken = await MemoryKeyValueStore.prototype.compareAndSwap.call(this.store, { key: DUTY_KEY, expectedModRevision: 0, value: 'test' })
@@ -242,7 +281,17 @@
     })
   }
 
-  /** Submits a job. @param number - names it @param command - for all tasks @param steps - what differs from one task of a step */
+  /**
+   * Submits a job.
+   *
+   * @param number - determines the job id
+   * @param command - the command of all tasks
+   * @param steps - the steps; by default one step of one task
+   * @param attempts - how often the same job is sent
+   * @param schedule - the schedule, if any
+   * @param owner - the owner, if any
+   * @returns the job id
+   */
   async submit (
     number: number, command: StandInCommand, steps: ReadonlyArray<Partial<StepSpec>> = [{}], attempts = 1, schedule?: JobSpec['schedule'], owner?: JobOwner
   ): Promise<JobId> {
@@ -256,51 +305,73 @@
       owner,
       steps: steps.map((step) => ({ taskCount: 1, cpuMillis: 1000, ...step }))
     })
-    spec.steps.forEach((step, index) => this.#cpu.set(`${jobId}.${index}`, step.isFiller ? 0 : step.cpuMillis))
-    for (let attempt = 0; attempt < attempts; attempt++) await this.desk.submit(spec, SERVICE, performance.now() + DEADLINE_MS)
+    spec.steps.forEach((step, index) => this.#cpuMillisByStep.set(`${jobId}.${index}`, step.isFiller ? 0 : step.cpuMillis))
+    for (let attempt = 0; attempt < attempts; attempt++) await this.jobApi.submit(spec, SERVICE, performance.now() + DEADLINE_MS)
     return jobId
   }
 
-  /** @param jobId - any @returns its state as clients see it */
+  /**
+   * Queries the state of a job as a client does.
+   *
+   * @param jobId - the job
+   * @returns the state
+   */
   status (jobId: JobId): Promise<string> {
-    return this.desk.status(jobId, [SERVICE], performance.now() + DEADLINE_MS, TEST_CALLER)
+    return this.jobApi.status(jobId, [SERVICE], performance.now() + DEADLINE_MS, TEST_OWNER)
   }
 
-  /** Waits until a condition holds. @param what - for the error @param condition - to hold @param timeoutMs - at most */
+  /**
+   * Waits until a condition holds.
+   *
+   * @param what - description of the condition for the error
+   * @param condition - the condition
+   * @param timeoutMs - the longest time to wait
+   */
   async until (what: string, condition: () => boolean | Promise<boolean>, timeoutMs = 10_000): Promise<void> {
-    const untilMs = performance.now() + timeoutMs
+    const timeoutAtMs = performance.now() + timeoutMs
     while (!await condition()) {
-      if (performance.now() > untilMs) throw new Error(`never: ${what}\n${this.log.lines.slice(-40).join('\n')}`)
-      await delay(POLL_MS)
+      if (performance.now() > timeoutAtMs) throw new Error(`timed out waiting until: ${what}\n${this.log.lines.slice(-40).join('\n')}`)
+      await delay(POLL_INTERVAL_MS)
     }
   }
 
-  /** @param jobId - any @param status - awaited */
+  /**
+   * Waits until a job has a state.
+   *
+   * @param jobId - the job
+   * @param status - the state to wait for
+   */
   untilStatus (jobId: JobId, status: string): Promise<void> {
     return this.until(`${jobId} is ${status}`, async () => await this.status(jobId) === status)
   }
 
-  /** Ends everything. */
+  /** Closes all schedulers. */
   close (): void {
     for (const { scheduler } of this.tenures) scheduler.close()
   }
 
-  /** Runs of a task that ended `done`. @param taskKey - which */
+  /**
+   * Counts the runs of a task that ended `done`.
+   *
+   * @param taskKey - the task
+   * @returns the number of runs
+   */
   doneRuns (taskKey: string): number {
     return this.runs.records.filter((record) => record.taskKey === taskKey && record.end === 'done').length
   }
 
-  /** Task keys of which two runs went at the same time on workers that lived, or that ran again after an acknowledged end. */
+  /** Keys of tasks with two runs at the same time on live workers, or with another run after an acknowledged end. */
   get duplicatedTasks (): string[] {
     const records = this.runs.records
-    return records.filter((a) => records.some((b) => a !== b && a.taskKey === b.taskKey && overlaps(a, b))).map(({ taskKey }) => taskKey)
+    return records.filter((a) => records.some((b) => a !== b && a.taskKey === b.taskKey && isDuplicate(a, b))).map(({ taskKey }) => taskKey)
   }
 }
 
-interface Span { readonly startedMs: number, readonly endedMs: number | undefined, readonly end: string | undefined, readonly isAcknowledged: boolean }
+/** The start and end of a run as its worker recorded it. */
+interface RunRecord { readonly startedMs: number, readonly endedMs: number | undefined, readonly end: string | undefined, readonly isAcknowledged: boolean }
 
-/** Whether the second begins while the first runs, or after the first's end `done` was acknowledged. */
-function overlaps (first: Span, second: Span): boolean {
+/** Tells whether the second run begins while the first is running, or after the first's end `done` was acknowledged. */
+function isDuplicate (first: RunRecord, second: RunRecord): boolean {
   if (second.startedMs < first.startedMs) return false
   return first.endedMs === undefined || second.startedMs < first.endedMs || (first.end === 'done' && first.isAcknowledged)
 }
--- a/packages/scheduler/src/test/decoders.test.ts
+++ b/packages/scheduler/src/test/decoders.test.ts
@@ -20,23 +20,23 @@
 const decoders: ReadonlyArray<{ name: string, good: string, decode: (text: string) => Result<unknown, unknown> }> = [
   { name: 'a job', good: JSON.stringify(JOB), decode: (text) => decodeJson(jobSpecSchema, text) },
   { name: 'progress', good: JSON.stringify(PROGRESS), decode: decodeProgress },
-  { name: 'need', good: encodeDemand(DEMAND), decode: (text) => decodeDemand('s', text) },
-  { name: 'what is under way with machines', good: encodeMachineDutyRecord(MACHINE_RECORD), decode: decodeMachineDutyRecord }
+  { name: 'demand', good: encodeDemand(DEMAND), decode: (text) => decodeDemand('s', text) },
+  { name: 'the record of the machine duty', good: encodeMachineDutyRecord(MACHINE_RECORD), decode: decodeMachineDutyRecord }
 ]
 
-describe('decoders of records', () => {
+describe('record decoders', () => {
   for (const { name, good, decode } of decoders) {
-    it(`${name}: reads what was written, and throws at nothing`, () => {
+    it(`${name}: decodes what was encoded, and never throws`, () => {
       expect(decode(good).ok).to.equal(true)
       fc.assert(fc.property(fc.oneof(fc.string(), fc.json()), (text) => { decode(text) }))
     })
 
-    it(`${name}: reads none that was cut short`, () => {
+    it(`${name}: rejects every truncated record`, () => {
       for (let length = 0; length < good.length; length++) expect(decode(good.slice(0, length)).err, good.slice(0, length)).to.equal(true)
     })
   }
 
-  it('progress of another job, or of tasks that it does not have, is restored for none of its tasks', () => {
+  it('progress of another job, or of tasks that the job does not have, is not restored', () => {
     const key = fc.oneof(fc.string(), fc.tuple(fc.nat(3), fc.nat(3), fc.nat(9)).map((parts) => [JOB.jobId, ...parts].join('.')), fc.constant(`${JOB.jobId}.-1.0.0`))
     fc.assert(fc.property(fc.array(key), (keys) => {
       const job = createJob(jobSpecSchema.parse(JOB))
--- a/packages/scheduler/src/test/foreignRecords.test.ts
+++ b/packages/scheduler/src/test/foreignRecords.test.ts
@@ -10,8 +10,8 @@
 const JUNK = ['', '{', 'null', '[]', '7', '"text"', '{"status":"paused","tasks":[]}', '{"jobId":7}', '\uFFFD\uFFFD']
 const OTHER_JOB = 'a'.repeat(16) as JobId
 
-/** Records that another writer left, or that were cut short. */
-describe('records that cannot be read', () => {
+/** Guards against failures caused by records that another writer left, or that are truncated. */
+describe('malformed records', () => {
   let service: TestService
   afterEach(() => service.close())
 
@@ -19,17 +19,17 @@
 
   const keys: ReadonlyArray<{ name: string, key: string }> = [
     { name: 'of a job', key: jobKey(SERVICE, OTHER_JOB) },
-    { name: 'of progress', key: progressKey(SERVICE, OTHER_JOB) },
+    { name: 'of the progress of a job', key: progressKey(SERVICE, OTHER_JOB) },
     { name: 'of silent workers', key: silentWorkersKey(SERVICE) },
     { name: 'of the last transaction', key: chainKey(SERVICE) },
-    { name: 'of need', key: demandKey(SERVICE) },
+    { name: 'of demand', key: demandKey(SERVICE) },
     { name: 'of waiting jobs', key: waitingKey(SERVICE) },
-    { name: 'of a cancel', key: cancelKey(SERVICE, testJobId(1)) },
-    { name: 'of a key that nobody named', key: `${inboxPrefix(SERVICE)}else/where/at/all` },
+    { name: 'of a cancellation', key: cancelKey(SERVICE, testJobId(1)) },
+    { name: 'under an unknown key', key: `${inboxPrefix(SERVICE)}else/where/at/all` },
     { name: 'of a worker', key: 'workers/w0-9' }
   ]
   for (const { name, key } of keys) {
-    it(`${name}: jobs run, before and after a take-over`, async () => {
+    it(`${name}: jobs still run, before and after a takeover`, async () => {
       service = new TestService(2)
       for (const value of JUNK) {
         service.write(key, value)
@@ -45,20 +45,20 @@
     })
   }
 
-  it('a line is written once for each revision, and all are counted by reason', async () => {
+  it('logs each malformed revision once, and counts them by reason', async () => {
     service = new TestService(1)
     service.write('workers/w9-1', '{')
     await service.takeOver()
-    await service.until('it is told', () => unreadableLines().length === 1)
+    await service.until('it is logged', () => unreadableLines().length === 1)
     for (let index = 0; index < 20; index++) service.addWorker(0, 1)
     await delay(300)
     expect(unreadableLines()).to.have.length(1)
     service.write('workers/w9-1', '{"instanceId":7}')
-    await service.until('the next one is told', () => unreadableLines().length === 2)
+    await service.until('the next one is logged', () => unreadableLines().length === 2)
     expect(service.metrics.counts('unreadable_records')).to.deep.equal({ 'not-json': 1, 'wrong-field': 1 })
   })
 
-  it('a worker whose entry cannot be read any more keeps its runs, and gets no new ones until it can be', async () => {
+  it('a worker whose registration becomes malformed keeps its runs, and gets no new ones until it is valid again', async () => {
     service = new TestService(1)
     service.maxLeaseMs = 3000
     await service.takeOver()
@@ -66,7 +66,7 @@
     await service.until('it runs', () => service.runs.records.length === 1)
     service.write('workers/w0-1', '{"instanceId":"w0-1"}')
     const jobId = await service.submit(2, { runMs: 10 })
-    // Beyond its lease, and beyond the time after which a missing entry counts as an end.
+    // Longer than its lease, and than the time after which a missing registration counts as removed.
     await delay(3500)
     expect(service.runs.records).to.have.length(1)
     expect(service.runs.records[0]?.end).to.equal(undefined)
@@ -75,7 +75,7 @@
     expect(service.duplicatedTasks).to.deep.equal([])
   })
 
-  it('what runs on a worker whose entry cannot be read as a next holder comes runs elsewhere only once its lease is over', async () => {
+  it('a new holder reruns the task of a worker whose registration is malformed only after its lease has expired', async () => {
     service = new TestService(2)
     service.maxLeaseMs = 2000
     await service.takeOver()
@@ -86,12 +86,12 @@
     service.tenures[0]?.scheduler.close()
     await service.takeOver()
     await service.until('it runs elsewhere', () => service.runs.records.length === 2, 8000)
-    // Nobody calls it any more: what its lease ended is seen when it is looked at.
+    // Nobody calls this worker any more, so the test has to make it end the runs whose lease has expired.
     service.runs.workers.get(instanceId)?.step()
     expect(service.duplicatedTasks).to.deep.equal([])
   })
 
-  it('an entry that names the machine of a worker that lives does not end that one, unless somebody answers there', async () => {
+  it('a registration that names the machine of a live worker does not end that worker, unless a worker answers at its address', async () => {
     service = new TestService(2)
     service.maxLeaseMs = 5000
     await service.takeOver()
@@ -105,7 +105,7 @@
     expect(service.runs.records).to.have.length(1)
   })
 
-  it('an entry under whose address another lifetime answers is asked once', async () => {
+  it('connects only once to a registration at whose address another lifetime answers', async () => {
     service = new TestService(1)
     await service.takeOver()
     const { instance } = service.runs.workers.get('w0-1') ?? {}
@@ -118,7 +118,7 @@
     expect(service.log.lines.filter((line) => line.startsWith('worker met') && line.includes('"copy"'))).to.have.length(1)
   })
 
-  it('a worker is not taken for gone since its machine is said to be another', async () => {
+  it('does not treat a worker as lost because of a report that names another machine', async () => {
     service = new TestService(1)
     service.maxLeaseMs = 5000
     await service.takeOver()
@@ -129,7 +129,7 @@
     expect(service.runs.records).to.have.length(1)
   })
 
-  it('a job whose progress cannot be read is neither started again nor stopped, and its clients are not told a state', async () => {
+  it('a job whose progress is malformed is neither restarted nor stopped, and clients get no state for it', async () => {
     service = new TestService(2)
     service.maxLeaseMs = 5000
     await service.takeOver()
@@ -148,7 +148,7 @@
     expect(explained.err && explained.val.detail).to.match(/^progress.*cannot be read/)
   })
 
-  it('a job whose progress cannot be read can be cancelled: what runs of it is stopped', async () => {
+  it('a job whose progress is malformed can be cancelled, which stops its runs', async () => {
     service = new TestService(1)
     service.maxLeaseMs = 5000
     await service.takeOver()
@@ -159,12 +159,12 @@
     await service.takeOver()
     await delay(300)
     expect(service.runs.records[0]?.end).to.equal(undefined)
-    expect(await service.desk.cancel(jobId, [SERVICE], performance.now() + DEADLINE_MS)).to.equal('accepted')
+    expect(await service.jobApi.cancel(jobId, [SERVICE], performance.now() + DEADLINE_MS)).to.equal('accepted')
     await service.until('it is stopped', () => service.runs.records[0]?.end === 'stopped')
     expect(await service.status(jobId)).to.equal('cancelled')
   })
 
-  it('a job is taken in where something unreadable stands, and runs', async () => {
+  it('accepts and runs a job whose key holds a malformed record', async () => {
     service = new TestService(1)
     await service.takeOver()
     for (const [index, value] of JUNK.entries()) {
@@ -175,14 +175,14 @@
     }
   })
 
-  it('what stands under a job that nobody handed in is not shown as one', async () => {
+  it('does not report a malformed record under the key of a job as a job', async () => {
     service = new TestService(1)
     service.write(jobKey(SERVICE, OTHER_JOB), '{"jobId":')
     expect(await service.status(OTHER_JOB)).to.equal('unavailable')
-    expect(await service.desk.countWaiting(QUEUE, SERVICE, performance.now() + DEADLINE_MS)).to.equal(0)
+    expect(await service.jobApi.countWaiting(QUEUE, SERVICE, performance.now() + DEADLINE_MS)).to.equal(0)
   })
 
-  it('a request to empty a machine is repeated in the answer, whatever it says', async () => {
+  it('confirms a drained machine with the text of the request, whatever it is', async () => {
     service = new TestService(1)
     await service.takeOver()
     service.write(vacateKey(SERVICE, 'm0'), '\uFFFD{')
--- a/packages/scheduler/src/test/scale.test.ts
+++ b/packages/scheduler/src/test/scale.test.ts
@@ -2,7 +2,7 @@
 import { delay } from '@quillscale/utils'
 import { FaultyStore, TestService } from './TestService.js'
 
-/** Counts calls by kind. */
+/** Counts the calls to a store by method. */
 function countCalls (store: FaultyStore): Map<string, number> {
   const counts = new Map<string, number>()
   for (const kind of ['get', 'list', 'transact', 'compareAndSwap', 'watch'] as const) {
@@ -21,9 +21,9 @@
   let service: TestService
   afterEach(() => service.close())
 
-  const takeOvers = [{ jobs: 20, workers: 2 }, { jobs: 200, workers: 8 }]
-  for (const { jobs, workers } of takeOvers) {
-    it(`takes ${jobs} jobs on ${workers} workers over with so few calls that do not depend on their number`, async () => {
+  const takeoverCases = [{ jobs: 20, workers: 2 }, { jobs: 200, workers: 8 }]
+  for (const { jobs, workers } of takeoverCases) {
+    it(`takes over ${jobs} jobs on ${workers} workers with a number of store calls that doesn't depend on the number of jobs`, async () => {
       service = new TestService(workers, 1_000_000)
       service.maxLeaseMs = 10_000
       const first = await service.takeOver()
@@ -34,7 +34,7 @@
       const calls = countCalls(service.store)
       await service.takeOver()
       await delay(1500)
-      // The chain and three lists, watches of 3 s at most, spaced transactions for counts and needs: nothing for each job or task.
+      // One read of the chain key, three lists, watches of up to 3 s, and spaced transactions for waiting counts and demand; no call per job or task.
       expect(calls.get('get')).to.be.at.most(2)
       expect(calls.get('list')).to.be.at.most(3)
       expect(calls.get('transact') ?? 0).to.be.at.most(30)
@@ -53,7 +53,7 @@
     for (let number = 1; number <= jobs; number++) await service.submit(number, { runMs: 20 }, [{ taskCount: 4 }, { taskCount: 4, dependsOn: [0] }])
     await service.until('all are done', () => service.runs.records.filter(({ end }) => end === 'done').length === jobs * 8)
     await delay(300)
-    // Taken in, placed for each of two steps, ended: four of each job, whatever the number of its tasks; and lines of the service's own.
+    // Four lines per job, whatever its number of tasks: accepted, placed for each of two steps, ended. Besides, lines about the service itself.
     expect(service.log.lines.length - before).to.be.at.most(jobs * 4 + 60)
   }).timeout(20_000)
 })
--- a/packages/scheduler/src/test/shrinkingWorkers.test.ts
+++ b/packages/scheduler/src/test/shrinkingWorkers.test.ts
@@ -77,7 +77,7 @@
       fleet.worker.stopTakesMs = 600
       const stopped = await fleet.service.submit(1, { runMs: 0 }, [{ taskCount: 8, isLasting: true }])
       await fleet.service.until('all run', () => fleet.worker.active.size === 8)
-      await fleet.service.desk.cancel(stopped, [SERVICE], performance.now() + 1000)
+      await fleet.service.jobApi.cancel(stopped, [SERVICE], performance.now() + 1000)
       return await fleet.service.submit(2, { runMs: RUN_MS }, [{ taskCount: 2 }])
     }
   },
