--- a/packages/scheduler/src/lib/duties/DutyElector.ts
+++ b/packages/scheduler/src/lib/duties/DutyElector.ts
@@ -216,7 +216,7 @@
       }
     })
     duty.task.run().catch((error: unknown) => {
-      log.warn({ dutyKey, err: error }, 'duty task failed: duty given up')
+      log.warn({ dutyKey, err: error }, 'duty task failed, releasing the duty')
       duty.task?.close()
       void duty.holder.abandon()
     })
