--- a/packages/scheduler/src/test/DutyElector.test.ts
+++ b/packages/scheduler/src/test/DutyElector.test.ts
@@ -44,7 +44,7 @@
 
 interface Host { readonly roster: DutyElector, readonly store: HostStore, readonly name: string }
 
-describe('DutyRoster', () => {
+describe('DutyElector', () => {
   const store = new MemoryKeyValueStore(systemClock)
   let hosts: Host[] = []
   const tenures = new Tenures()
--- a/packages/scheduler/src/test/FencedBatchWriter.test.ts
+++ b/packages/scheduler/src/test/FencedBatchWriter.test.ts
@@ -3,7 +3,7 @@
 import { FencedBatchWriter } from '../lib/records/FencedBatchWriter.js'
 import { FaultyStore } from './TestService.js'
 
-describe('CommitLog', () => {
+describe('FencedBatchWriter', () => {
   let store: FaultyStore
   let isDeposed: boolean
   beforeEach(() => {
