--- a/packages/scheduler/src/lib/accounts/AccountDirectory.ts
+++ b/packages/scheduler/src/lib/accounts/AccountDirectory.ts
@@ -1,5 +1,5 @@
 /**
- * The client accounts of one configuration.
+ * Looks up the client accounts of one configuration.
  *
  * @module
  */
@@ -7,27 +7,27 @@
 import { unlimitedWhereZero, type JobOwner, type Resources } from '@quillscale/policy'
 import { keyTagOf } from './hashKey.js'
 
-/** The directory. @public */
+/** Indexes the client accounts of a configuration by key hash and by name. @public */
 export class AccountDirectory {
   readonly #byKey: ReadonlyMap<KeyHash, ClientAccount>
   readonly #byName: ReadonlyMap<AccountName, ClientAccount>
   readonly #limits: ReadonlyMap<AccountName, Resources>
 
-  /** @param configuration - in force, `undefined` before the first */
+  /** @param configuration - the current configuration, `undefined` before the first one arrives */
   constructor (configuration: FleetConfiguration | undefined) {
     const accounts = configuration?.accounts ?? []
     this.#byKey = new Map(accounts.flatMap((account) => account.keyHashes.map((hash) => [hash, account] as const)))
     this.#byName = new Map(accounts.map((account) => [account.name, account]))
-    this.#limits = new Map(accounts.filter(({ limit }) => isAnyLimited(limit)).map(({ name, limit }) => [name, unlimitedWhereZero(limit)]))
+    this.#limits = new Map(accounts.filter(({ limit }) => hasAnyLimit(limit)).map(({ name, limit }) => [name, unlimitedWhereZero(limit)]))
   }
 
-  /** @param hash - of a key @returns the account that holds it, as a job of it is recorded; `undefined` if none does */
+  /** @param hash - hash of a client's key @returns the account that owns the key, in the form stored with its jobs; `undefined` if there is none */
   ownerOf (hash: KeyHash): JobOwner | undefined {
     const account = this.#byKey.get(hash)
     return account === undefined ? undefined : { account: account.name, keyTag: keyTagOf(hash) }
   }
 
-  /** @param name - of an account @returns what it may have running, infinite amounts where only others are limited; `undefined` without any limit */
+  /** @param name - account name @returns its resource limit, infinite for unlimited kinds of resource; `undefined` if it has no limit at all */
   limitOf (name: AccountName): Resources | undefined {
     return this.#limits.get(name)
   }
@@ -37,25 +37,25 @@
     return this.#limits.size > 0
   }
 
-  /** @param name - of an account @returns the jobs a second that are its share, `undefined` for an account that was removed */
+  /** @param name - account name @returns its weight, in jobs per second; `undefined` if the account was removed */
   weightOf (name: AccountName): number | undefined {
     return this.#byName.get(name)?.weight
   }
 }
 
-const directories = new WeakMap<FleetConfiguration, AccountDirectory>()
-const NO_ACCOUNTS = new AccountDirectory(undefined)
+const directoryByConfiguration = new WeakMap<FleetConfiguration, AccountDirectory>()
+const EMPTY_DIRECTORY = new AccountDirectory(undefined)
 
-/** @param configuration - in force, `undefined` before the first @returns its accounts, made once for each configuration @public */
+/** @param configuration - the current one, `undefined` before the first one arrives @returns its accounts, indexed once for each configuration @public */
 export function accountsOf (configuration: FleetConfiguration | undefined): AccountDirectory {
-  if (configuration === undefined) return NO_ACCOUNTS
-  const known = directories.get(configuration)
-  if (known !== undefined) return known
+  if (configuration === undefined) return EMPTY_DIRECTORY
+  const cached = directoryByConfiguration.get(configuration)
+  if (cached !== undefined) return cached
   const directory = new AccountDirectory(configuration)
-  directories.set(configuration, directory)
+  directoryByConfiguration.set(configuration, directory)
   return directory
 }
 
-function isAnyLimited ({ cpuMillis, memoryMb, gpus }: Resources): boolean {
+function hasAnyLimit ({ cpuMillis, memoryMb, gpus }: Resources): boolean {
   return cpuMillis > 0 || memoryMb > 0 || gpus > 0
 }
--- a/packages/scheduler/src/lib/accounts/hashKey.ts
+++ b/packages/scheduler/src/lib/accounts/hashKey.ts
@@ -1,16 +1,16 @@
 /**
- * Hashes the keys of client accounts, so that none is kept, written or compared as it is.
+ * Hashes the keys of client accounts, so that no key is stored, logged or compared in plain text.
  *
  * @module
  */
 import { createHash } from 'node:crypto'
 import type { KeyHash } from '@quillscale/ports'
 
-/** Of a hash: enough to tell the keys of a fleet apart, and no help in finding one. */
-const TAG_DIGITS = 8
+/** Hex digits of a hash: enough to distinguish the keys of a fleet, too few to help in guessing one. */
+const KEY_TAG_LENGTH = 8
 
-/** @param key - as a client sends it @returns its hash; looking that up takes no longer for a key that begins like a real one @public */
+/** @param key - key sent by a client @returns its hash; lookups by hash do not reveal through their timing how much of a guessed key is right @public */
 export const hashKey = (key: string): KeyHash => createHash('sha256').update(key).digest('hex') as KeyHash
 
-/** @param hash - of a key @returns the part of it that records and logs may show @public */
-export const keyTagOf = (hash: KeyHash): string => hash.slice(0, TAG_DIGITS)
+/** @param hash - hash of a key @returns the part of the hash that records and logs may show @public */
+export const keyTagOf = (hash: KeyHash): string => hash.slice(0, KEY_TAG_LENGTH)
--- a/packages/scheduler/src/lib/machines/MachineDrainer.ts
+++ b/packages/scheduler/src/lib/machines/MachineDrainer.ts
@@ -1,5 +1,5 @@
 /**
- * Empties machines on request, and says so once nothing runs there any more; moves lasting tasks away from workers that end.
+ * Drains machines on request and reports when nothing runs on them any more; moves lasting tasks away from workers that are about to end.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import type { WorkerLink } from '../workers/WorkerLink.js'
 import type { WorkerTracker } from '../workers/WorkerTracker.js'
 
-/** What the vacator works with. @public */
+/** Dependencies of a {@link MachineDrainer}. @public */
 export interface MachineDrainerOptions {
   readonly service: string
   readonly clock: Clock
@@ -22,36 +22,36 @@
 
 interface DrainRequest { readonly value: string, readonly sinceMs: number, isEmpty: boolean }
 
-/** Machines of one service that are to be emptied. @public */
+/** Tracks which machines of one service are to be drained, and stops the runs on them. @public */
 export class MachineDrainer {
   readonly #options: MachineDrainerOptions
   readonly #requests = new Map<string, DrainRequest>()
 
-  /** @param options - what it works with */
+  /** @param options - the service and the dependencies */
   constructor (options: MachineDrainerOptions) {
     this.#options = options
   }
 
-  /** @param machineId - to be emptied @param value - names the request, repeated in the answer */
+  /** Starts to drain a machine. @param machineId - the machine @param value - identifies the request; the report that the machine is empty repeats it */
   request (machineId: string, value: string): void {
     if (this.#requests.get(machineId)?.value === value) return
     this.#requests.set(machineId, { value, sinceMs: this.#options.clock.monotonicMs(), isEmpty: false })
     this.#options.log.info({ machineId, request: value }, 'machine is being emptied')
   }
 
-  /** @param machineId - may take work again */
+  /** Cancels the drain of a machine. @param machineId - the machine, which may accept work again */
   withdraw (machineId: string): void {
     if (!this.#requests.delete(machineId)) return
     this.#options.put(vacatedKey(this.#options.service, machineId), () => undefined, true)
-    this.#options.log.info({ machineId }, 'machine takes work again')
+    this.#options.log.info({ machineId }, 'machine drain cancelled: it accepts work again')
   }
 
-  /** @param machineId - any @returns whether it takes no work */
+  /** @param machineId - a machine @returns whether it is being drained and accepts no work */
   isVacating (machineId: string): boolean {
     return this.#requests.has(machineId)
   }
 
-  /** Moves lasting tasks away from workers that are about to end. @param leaving - those workers @param nowMs - monotonic */
+  /** Moves lasting tasks away from workers that are about to end. @param leaving - these workers @param nowMs - monotonic time */
   drainLeavingWorkers (leaving: readonly WorkerLink[], nowMs: number): void {
     for (const { instance, runs } of leaving) {
       if (this.isVacating(instance.machineId)) continue
@@ -63,10 +63,10 @@
   }
 
   /**
-   * Stops what is to be stopped now, and reports machines that are empty.
+   * Stops the runs that are due on machines being drained, and reports machines that are empty.
    *
-   * @param workers - all; one that is not registered at the moment may still run what an earlier holder placed
-   * @param nowMs - monotonic
+   * @param workers - all workers of the service; one that is not registered at the moment may still run what a previous holder placed
+   * @param nowMs - monotonic time
    */
   reconcile (workers: Pick<WorkerTracker, 'links' | 'hasOrphanedRuns'>, nowMs: number): void {
     for (const [machineId, request] of this.#requests) {
--- a/packages/scheduler/src/lib/machines/OrderCooldowns.ts
+++ b/packages/scheduler/src/lib/machines/OrderCooldowns.ts
@@ -1,72 +1,82 @@
 /**
- * Keeps holders from ordering one machine close to each other.
+ * Keeps two holders of the machine duty from ordering the same machine shortly after each other.
  *
- * For some time after a holder's last order no other may order that machine. What is left of each pause is handed on, so that it
- * neither ends early, when a holder in between ordered nothing, nor begins anew with each holder.
+ * After a holder's last order for a machine, no other holder may order it during a cooldown. Each holder passes the remaining time on to
+ * the next. So a cooldown neither ends early when a holder in between ordered nothing, nor restarts with each holder.
  *
  * @module
  */
 
-/** An order without an answer may be carried out this much later; it is given up after 1.5 s. */
-const LATE_ORDER_MS = 1500
+/** An unanswered order may still be executed until it times out after 1.5 s. */
+const ORDER_TIMEOUT_MS = 1500
 
-/** A machine that a next holder must not order yet. @public */
+/** A machine that the next holder must not order yet. @public */
 export interface OrderCooldown {
   readonly machineId: string
-  /** What was left when it was written down. */
+  /** Remaining time when the cooldown was saved. */
   readonly remainingMs: number
 }
 
-/** The pauses that one holder knows of. @public */
+/** Tracks the cooldowns that one holder took over from previous holders and those that its own orders cause for the next. @public */
 export class OrderCooldowns {
-  readonly #pauseMs: () => number
-  /** When this holder's last order to a machine was over, monotonic; not yet, where it is infinite. */
-  readonly #ordered = new Map<string, number>()
-  /** Until when a former holder's order counts, monotonic. */
-  readonly #formerUntil = new Map<string, number>()
+  readonly #cooldownMs: () => number
+  /** By machine, the monotonic time when this holder's last order completed; infinite while the order is in progress. */
+  readonly #lastOrderMs = new Map<string, number>()
+  /** By machine, the monotonic time when the cooldown after a previous holder's order ends. */
+  readonly #inheritedEndMs = new Map<string, number>()
 
-  /** Until when any machine may have a former holder's order, monotonic. */
-  #allUntilMs = -Infinity
+  /** Monotonic time until which every machine is in a cooldown, because a previous holder's orders are unknown. */
+  #globalEndMs = -Infinity
 
-  /** @param pauseMs - how long no other holder may order a machine after an order */
-  constructor (pauseMs: () => number) {
-    this.#pauseMs = pauseMs
+  /** @param cooldownMs - how long after an order no other holder may order the machine */
+  constructor (cooldownMs: () => number) {
+    this.#cooldownMs = cooldownMs
   }
 
-  /** @param pauses - as a former holder wrote them @param allLeftMs - what is left for any machine @param nowMs - monotonic, not before the take-over */
-  restore (pauses: readonly OrderCooldown[], allLeftMs: number, nowMs: number): void {
-    this.#allUntilMs = nowMs + Math.min(allLeftMs, this.#pauseMs() + LATE_ORDER_MS)
-    for (const { machineId, remainingMs } of pauses) this.#formerUntil.set(machineId, nowMs + Math.min(remainingMs, this.#pauseMs() + LATE_ORDER_MS))
+  /**
+   * Takes over the cooldowns of the previous holder.
+   *
+   * @param previous - its cooldowns, as it saved them
+   * @param globalRemainingMs - remaining cooldown of all machines
+   * @param nowMs - monotonic time, not before the takeover
+   */
+  restore (previous: readonly OrderCooldown[], globalRemainingMs: number, nowMs: number): void {
+    this.#globalEndMs = nowMs + Math.min(globalRemainingMs, this.#cooldownMs() + ORDER_TIMEOUT_MS)
+    for (const { machineId, remainingMs } of previous) this.#inheritedEndMs.set(machineId, nowMs + Math.min(remainingMs, this.#cooldownMs() + ORDER_TIMEOUT_MS))
   }
 
-  /** An order is about to be written down and sent: until it is over, all of the pause is left. @param machineId - whose */
+  /**
+   * Marks an order as in progress, before it is saved and sent. Until it completes, the whole cooldown remains.
+   *
+   * @param machineId - the machine to order
+   */
   beginOrder (machineId: string): void {
-    this.#ordered.set(machineId, Infinity)
+    this.#lastOrderMs.set(machineId, Infinity)
   }
 
-  /** @param machineId - whose order was answered, or given up @param nowMs - monotonic */
+  /** Starts the cooldown of an order that was answered or abandoned. @param machineId - the ordered machine @param nowMs - monotonic time */
   endOrder (machineId: string, nowMs: number): void {
-    this.#ordered.set(machineId, nowMs)
+    this.#lastOrderMs.set(machineId, nowMs)
   }
 
-  /** @param machineId - any @param nowMs - monotonic @returns whether a former holder's order is too recent for one of this holder */
+  /** @param machineId - a machine @param nowMs - monotonic time @returns whether a previous holder's order is too recent for this holder to order it */
   isCoolingDown (machineId: string, nowMs: number): boolean {
-    return nowMs < Math.max(this.#allUntilMs, this.#formerUntil.get(machineId) ?? -Infinity)
+    return nowMs < Math.max(this.#globalEndMs, this.#inheritedEndMs.get(machineId) ?? -Infinity)
   }
 
-  /** @param nowMs - monotonic @returns for how long any machine may have a former holder's order that nobody wrote down */
+  /** @param nowMs - monotonic time @returns the remaining cooldown of all machines, for orders of previous holders that were not recorded */
   globalRemainingMs (nowMs: number): number {
-    return Math.max(0, Math.ceil(this.#allUntilMs - nowMs))
+    return Math.max(0, Math.ceil(this.#globalEndMs - nowMs))
   }
 
-  /** @param nowMs - monotonic @returns what a next holder must wait for, each machine once; what is over is forgotten */
+  /** Deletes expired cooldowns. @param nowMs - monotonic time @returns the cooldowns that the next holder must respect, one for each machine */
   left (nowMs: number): OrderCooldown[] {
-    const pauseMs = this.#pauseMs()
-    for (const [machineId, untilMs] of this.#formerUntil) if (untilMs <= nowMs) this.#formerUntil.delete(machineId)
-    for (const [machineId, orderedMs] of this.#ordered) if (orderedMs + pauseMs <= nowMs) this.#ordered.delete(machineId)
-    return [...new Set([...this.#formerUntil.keys(), ...this.#ordered.keys()])].map((machineId) => {
-      const untilMs = Math.max(this.#formerUntil.get(machineId) ?? -Infinity, (this.#ordered.get(machineId) ?? -Infinity) + pauseMs)
-      return { machineId, remainingMs: Math.min(pauseMs + LATE_ORDER_MS, Math.ceil(untilMs - nowMs)) }
+    const cooldownMs = this.#cooldownMs()
+    for (const [machineId, endMs] of this.#inheritedEndMs) if (endMs <= nowMs) this.#inheritedEndMs.delete(machineId)
+    for (const [machineId, orderedMs] of this.#lastOrderMs) if (orderedMs + cooldownMs <= nowMs) this.#lastOrderMs.delete(machineId)
+    return [...new Set([...this.#inheritedEndMs.keys(), ...this.#lastOrderMs.keys()])].map((machineId) => {
+      const endMs = Math.max(this.#inheritedEndMs.get(machineId) ?? -Infinity, (this.#lastOrderMs.get(machineId) ?? -Infinity) + cooldownMs)
+      return { machineId, remainingMs: Math.min(cooldownMs + ORDER_TIMEOUT_MS, Math.ceil(endMs - nowMs)) }
     })
   }
 }
--- a/packages/scheduler/src/lib/machines/ShortageLog.ts
+++ b/packages/scheduler/src/lib/machines/ShortageLog.ts
@@ -1,35 +1,35 @@
 /**
- * Logs which services have fewer usable machines than they need, by what the holder of machines counts for them.
+ * Logs which services have fewer usable machines than they need, from the counts of the machine duty.
  *
  * @module
  */
 import type { PoolCount } from '@quillscale/policy'
 import type { EventLog } from '../duties/EventLog.js'
 
-/** A shortage that changes is logged this often for each service. */
-const LINE_SPACING_MS = 1000
+/** Minimum interval between two log lines for the same service. */
+const MIN_LOG_INTERVAL_MS = 1000
 
-interface LoggedShortage { readonly text: string, readonly atMs: number }
+interface LoggedShortage { readonly summary: string, readonly atMs: number }
 
-/** The log of shortages. @public */
+/** Logs when a service's shortage of machines begins, changes or ends. @public */
 export class ShortageLog {
   readonly #log: EventLog
-  readonly #lines = new Map<string, LoggedShortage>()
+  readonly #lastLogged = new Map<string, LoggedShortage>()
 
-  /** @param log - where the lines go */
+  /** @param log - receives the lines */
   constructor (log: EventLog) {
     this.#log = log
   }
 
-  /** @param counts - of all services whose need is known @param nowMs - monotonic */
+  /** Logs the shortages that differ from the last line. @param counts - machine counts of all services with a known need @param nowMs - monotonic time */
   logChanges (counts: readonly PoolCount[], nowMs: number): void {
     for (const { demand: { service, runsByMachine }, need, have } of counts) {
       const usable = runsByMachine.size
-      const text = usable >= need ? '' : `${need} ${have} ${usable}`
-      const last = this.#lines.get(service)
-      if (text === (last?.text ?? '') || nowMs - (last?.atMs ?? -Infinity) < LINE_SPACING_MS) continue
-      this.#lines.set(service, { text, atMs: nowMs })
-      if (text === '') this.#log.info({ service, need, have, usable }, 'service has the machines that it needs')
+      const summary = usable >= need ? '' : `${need} ${have} ${usable}`
+      const last = this.#lastLogged.get(service)
+      if (summary === (last?.summary ?? '') || nowMs - (last?.atMs ?? -Infinity) < MIN_LOG_INTERVAL_MS) continue
+      this.#lastLogged.set(service, { summary, atMs: nowMs })
+      if (summary === '') this.#log.info({ service, need, have, usable }, 'service has the machines that it needs')
       else this.#log.info({ service, need, have, usable }, 'service is short of machines')
     }
   }
--- a/packages/scheduler/src/lib/machines/machineLossReport.ts
+++ b/packages/scheduler/src/lib/machines/machineLossReport.ts
@@ -1,5 +1,5 @@
 /**
- * That a machine is down, as the holder of machines tells it to the scheduler of its service.
+ * Report that a worker's machine is down or gone, sent by the holder of the machine duty to the scheduler of the worker's service.
  *
  * @module
  */
@@ -8,15 +8,15 @@
 
 const machineLossReportSchema = z.object({
   machineId: z.string(),
-  /** Unix time at which the list was asked for that shows it. */
+  /** Unix time when the list that shows the loss was requested. */
   listedWallMs: z.number()
 })
 
-/** The report; the worker is named by its key. @public */
+/** The loss of a machine; the key of the record names the worker. @public */
 export type MachineLossReport = z.infer<typeof machineLossReportSchema>
 
-/** @param report - of a machine @returns it as text @public */
+/** @param report - the report @returns its stored text @public */
 export const encodeMachineLossReport = (report: MachineLossReport): string => JSON.stringify(report)
 
-/** @param text - as kept @returns the report, or why it cannot be read @public */
+/** @param text - the stored text @returns the report, or why it cannot be decoded @public */
 export const decodeMachineLossReport = (text: string): Result<MachineLossReport, DecodeProblem> => decodeJson(machineLossReportSchema, text)
--- a/packages/scheduler/src/test/FakeMachineControl.ts
+++ b/packages/scheduler/src/test/FakeMachineControl.ts
@@ -2,7 +2,7 @@
 import type { ListedMachine, MachineControl, MachineOrder, MachineOrderOutcome, PlatformError, WorkerId } from '@quillscale/ports'
 import { SERVICE, type TestService } from './TestService.js'
 
-const DOWN_MS = 60
+const DOWNTIME_MS = 60
 /** The pool whose machines are off. */
 export const PARKED_POOL = 'parked'
 
@@ -13,7 +13,7 @@
 export class FakeMachineControl implements MachineControl {
   readonly orders: RecordedOrder[] = []
   readonly #machines = new Map<string, ListedMachine>()
-  readonly #lives = new Map<string, number>()
+  readonly #lifetimes = new Map<string, number>()
   maxDown = 0
 
   constructor (readonly service: TestService, count: number, parked: number) {
@@ -61,15 +61,15 @@
     if (machine.workerId !== '') this.service.unlist(machine.workerId)
     this.#set(order.machineId, pool, state, '')
     this.maxDown = Math.max(this.maxDown, [...this.#machines.values()].filter((each) => each.state === 'upkeep').length)
-    setTimeout(() => this.#comeBack(order.machineId, pool), DOWN_MS)
+    setTimeout(() => this.#comeBack(order.machineId, pool), DOWNTIME_MS)
     return Ok('accepted')
   }
 
   #comeBack (machineId: string, pool: string): void {
-    const life = (this.#lives.get(machineId) ?? 1) + 1
-    this.#lives.set(machineId, life)
+    const lifetime = (this.#lifetimes.get(machineId) ?? 1) + 1
+    this.#lifetimes.set(machineId, lifetime)
     const index = Number(machineId.slice(1))
-    this.#set(machineId, pool, 'up', pool === PARKED_POOL ? '' : `w${index}-${life}`)
-    if (pool !== PARKED_POOL) this.service.addWorker(index, life)
+    this.#set(machineId, pool, 'up', pool === PARKED_POOL ? '' : `w${index}-${lifetime}`)
+    if (pool !== PARKED_POOL) this.service.addWorker(index, lifetime)
   }
 }
