--- a/packages/scheduler/src/test/FakeMachineControl.ts
+++ b/packages/scheduler/src/test/FakeMachineControl.ts
@@ -3,13 +3,13 @@
 import { SERVICE, type TestService } from './TestService.js'
 
 const DOWNTIME_MS = 60
-/** The pool whose machines are off. */
+/** Pool whose machines are switched off. */
 export const PARKED_POOL = 'parked'
 
-/** An order that was carried out. */
+/** An accepted order, with the time and the kind of the order. */
 export interface RecordedOrder extends MachineOrder { readonly atMs: number, readonly what: string }
 
-/** Machines of the service under test; upkeep and moves replace the worker's lifetime. */
+/** Simulates the machines of the service under test. Maintenance and moves end the worker and start a new one. */
 export class FakeMachineControl implements MachineControl {
   readonly orders: RecordedOrder[] = []
   readonly #machines = new Map<string, ListedMachine>()
@@ -23,13 +23,13 @@
     }
   }
 
-  /** The machine loses power. @param machineId - which @param forMs - until it comes back with another worker */
+  /** Cuts the power of a machine. @param machineId - the machine @param forMs - time until it restarts with a new worker; by default it stays down */
   fail (machineId: string, forMs = Infinity): void {
     const machine = this.#machines.get(machineId)
     const pool = machine?.pool ?? ''
     this.service.runs.workers.get(machine?.workerId ?? '')?.crash()
     this.#set(machineId, pool, 'down', '')
-    if (forMs < Infinity) setTimeout(() => this.#comeBack(machineId, pool), forMs)
+    if (forMs < Infinity) setTimeout(() => this.#restart(machineId, pool), forMs)
   }
 
   poolOf (machineId: string): string | undefined {
@@ -61,11 +61,11 @@
     if (machine.workerId !== '') this.service.unlist(machine.workerId)
     this.#set(order.machineId, pool, state, '')
     this.maxDown = Math.max(this.maxDown, [...this.#machines.values()].filter((each) => each.state === 'upkeep').length)
-    setTimeout(() => this.#comeBack(order.machineId, pool), DOWNTIME_MS)
+    setTimeout(() => this.#restart(order.machineId, pool), DOWNTIME_MS)
     return Ok('accepted')
   }
 
-  #comeBack (machineId: string, pool: string): void {
+  #restart (machineId: string, pool: string): void {
     const lifetime = (this.#lifetimes.get(machineId) ?? 1) + 1
     this.#lifetimes.set(machineId, lifetime)
     const index = Number(machineId.slice(1))
--- a/packages/scheduler/src/test/LastSeenWorkers.test.ts
+++ b/packages/scheduler/src/test/LastSeenWorkers.test.ts
@@ -15,18 +15,18 @@
 describe('SightingRecord', () => {
   const cases = [
     { name: 'all pools at first', list: LIST, atMs: 0, expected: [A, B] },
-    { name: 'nothing so soon', list: [machine('m1', 'a', 'i-9')], atMs: 290, expected: [] },
-    { name: 'nothing where nothing changed', list: [...LIST].reverse(), atMs: 2000, expected: [] },
-    { name: 'a pool with another worker', list: [...LIST, machine('m4', 'b', 'i-4')], atMs: 4000, expected: [{ key: B.key, value: '{"m3":"i-3","m4":"i-4"}' }] },
-    { name: 'no machine that is not up, and no pool without any', list: [LIST[0] as ListedMachine, LIST[1] as ListedMachine, machine('m3', 'b', 'i-3', 'down')], atMs: 6000, expected: [{ key: B.key, value: undefined }] }
+    { name: 'nothing within the minimum interval', list: [machine('m1', 'a', 'i-9')], atMs: 290, expected: [] },
+    { name: 'nothing if nothing changed', list: [...LIST].reverse(), atMs: 2000, expected: [] },
+    { name: 'a pool with an additional worker', list: [...LIST, machine('m4', 'b', 'i-4')], atMs: 4000, expected: [{ key: B.key, value: '{"m3":"i-3","m4":"i-4"}' }] },
+    { name: 'no machine that is not up, and no pool without machines', list: [LIST[0] as ListedMachine, LIST[1] as ListedMachine, machine('m3', 'b', 'i-3', 'down')], atMs: 6000, expected: [{ key: B.key, value: undefined }] }
   ]
-  it('is written as machines change, by pool', () => {
+  it('writes the pools whose machines changed', () => {
     const record = new LastSeenWorkers()
     for (const { name, list, atMs, expected } of cases) expect(record.changesToWrite(list, atMs), name).to.deep.equal(expected)
-    expect(record.changesToWrite(LIST, 6100, true), 'at a hand-over at once').to.deep.equal([B])
+    expect(record.changesToWrite(LIST, 6100, true), 'at a handover without delay').to.deep.equal([B])
   })
 
-  it('is taken over, and not written again as it was', () => {
+  it('restores the written pools, and does not write them again unchanged', () => {
     const record = new LastSeenWorkers()
     const restored = record.restore([A, B].map((item) => ({ ...item, modRevision: 1 })), new RecordReader(new TestLog(), new SchedulerMetrics()))
     expect([...restored.values()].map(({ machineId, pool, workerId }) => `${machineId} ${pool} ${workerId}`)).to.deep.equal(['m1 a i-1', 'm2 a i-2', 'm3 b i-3'])
--- a/packages/scheduler/src/test/MachineLossDetector.test.ts
+++ b/packages/scheduler/src/test/MachineLossDetector.test.ts
@@ -16,29 +16,29 @@
     { name: 'a machine that goes down', lists: [UP, DOWN, DOWN], expected: ['i-1'] },
     { name: 'a machine that was down when first listed', lists: [DOWN, DOWN], expected: [] },
     { name: 'a machine that is moved', lists: [UP, listOf('moving', ''), listOf('up', 'i-2' as WorkerId)], expected: [] },
-    { name: 'a machine that is kept up', lists: [UP, listOf('upkeep', ''), listOf('up', 'i-2' as WorkerId)], expected: [] },
-    { name: 'a machine that has another worker', lists: [UP, listOf('up', 'i-2' as WorkerId)], expected: [] },
-    { name: 'a machine that one list leaves out', lists: [UP, ABSENT, UP], expected: [] },
-    { name: 'a machine that was taken away', lists: [UP, ABSENT, ABSENT, ABSENT], expected: ['i-1'] },
-    { name: 'a machine that goes down and is taken away', lists: [UP, DOWN, ABSENT, ABSENT], expected: ['i-1'] },
+    { name: 'a machine that is maintained', lists: [UP, listOf('upkeep', ''), listOf('up', 'i-2' as WorkerId)], expected: [] },
+    { name: 'a machine that has a different worker', lists: [UP, listOf('up', 'i-2' as WorkerId)], expected: [] },
+    { name: 'a machine that is missing from one list', lists: [UP, ABSENT, UP], expected: [] },
+    { name: 'a machine that was removed', lists: [UP, ABSENT, ABSENT, ABSENT], expected: ['i-1'] },
+    { name: 'a machine that goes down and is removed', lists: [UP, DOWN, ABSENT, ABSENT], expected: ['i-1'] },
     { name: 'a machine that goes down twice', lists: [UP, DOWN, listOf('up', 'i-2' as WorkerId), DOWN], expected: ['i-1', 'i-2'] }
   ]
   const restored: typeof cases = [
-    { name: 'a machine that another holder saw with another worker', lists: [UP, listOf('up', 'i-2' as WorkerId), listOf('up', 'i-2' as WorkerId)], expected: ['i-1'] },
-    { name: 'a machine that it saw as it is', lists: [UP, UP], expected: [] },
-    { name: 'a machine whose pool is off now', lists: [UP, listOf('up', '')], expected: [] },
-    { name: 'a machine that is moved when first listed', lists: [UP, listOf('moving', ''), listOf('up', 'i-2' as WorkerId)], expected: [] }
+    { name: 'a machine that a previous holder listed with a different worker', lists: [UP, listOf('up', 'i-2' as WorkerId), listOf('up', 'i-2' as WorkerId)], expected: ['i-1'] },
+    { name: 'a machine that a previous holder listed unchanged', lists: [UP, UP], expected: [] },
+    { name: 'a machine whose pool is switched off now', lists: [UP, listOf('up', '')], expected: [] },
+    { name: 'a machine that is being moved when first listed', lists: [UP, listOf('moving', ''), listOf('up', 'i-2' as WorkerId)], expected: [] }
   ]
-  for (const { name, lists: [seen, ...lists], expected } of restored) {
-    it(`finds ${expected.length} of ${name}`, () => {
+  for (const { name, lists: [restoredList, ...lists], expected } of restored) {
+    it(`reports ${expected.length} lost workers for ${name}`, () => {
       const watch = new MachineLossDetector()
-      watch.restore(seen ?? new Map())
+      watch.restore(restoredList ?? new Map())
       expect(lists.flatMap((list) => watch.detect(list)).map(({ workerId }) => workerId)).to.deep.equal(expected)
     })
   }
 
   for (const { name, lists, expected } of cases) {
-    it(`finds ${expected.length} of ${name}`, () => {
+    it(`reports ${expected.length} lost workers for ${name}`, () => {
       const watch = new MachineLossDetector()
       expect(lists.flatMap((list) => watch.detect(list)).map(({ workerId }) => workerId)).to.deep.equal(expected)
     })
--- a/packages/scheduler/src/test/OrderCooldowns.test.ts
+++ b/packages/scheduler/src/test/OrderCooldowns.test.ts
@@ -1,14 +1,14 @@
 import { expect } from 'chai'
 import { OrderCooldowns, type OrderCooldown } from '../lib/machines/OrderCooldowns.js'
 
-const PAUSE_MS = 3500
-/** Until an order without an answer has surely been carried out, or never will be. */
-const LATE_MS = 1500
+const COOLDOWN_MS = 3500
+/** Time after which an unanswered order has either been executed or never will be. */
+const ORDER_TIMEOUT_MS = 1500
 
 interface Case {
   readonly name: string
-  /** What is done by a holder that took over at 10 s. */
-  readonly act: (pauses: OrderCooldowns) => void
+  /** Actions of a holder that took over at 10 s. */
+  readonly setUp: (cooldowns: OrderCooldowns) => void
   readonly atMs: number
   readonly left: readonly OrderCooldown[]
   readonly allLeftMs?: number
@@ -16,37 +16,37 @@
 }
 
 const cases: readonly Case[] = [
-  { name: 'nothing was ordered', act: () => {}, atMs: 10_000, left: [], isPaused: false },
+  { name: 'no cooldown without an order', setUp: () => {}, atMs: 10_000, left: [], isPaused: false },
   {
-    name: 'an order that is not over leaves the whole pause and the time in which it may arrive, however long ago it began',
-    act: (pauses) => pauses.beginOrder('m'),
+    name: 'an order in progress keeps the whole cooldown and its timeout, however long ago it was sent',
+    setUp: (cooldowns) => cooldowns.beginOrder('m'),
     atMs: 60_000,
-    left: [{ machineId: 'm', remainingMs: PAUSE_MS + LATE_MS }],
+    left: [{ machineId: 'm', remainingMs: COOLDOWN_MS + ORDER_TIMEOUT_MS }],
     isPaused: false
   },
-  { name: 'an own order counts from its answer', act: (pauses) => pauses.endOrder('m', 11_000), atMs: 12_000, left: [{ machineId: 'm', remainingMs: 2500 }], isPaused: false },
-  { name: 'an own order long ago is forgotten', act: (pauses) => pauses.endOrder('m', 11_000), atMs: 14_500, left: [], isPaused: false },
+  { name: 'the cooldown of an own order starts with its answer', setUp: (cooldowns) => cooldowns.endOrder('m', 11_000), atMs: 12_000, left: [{ machineId: 'm', remainingMs: 2500 }], isPaused: false },
+  { name: 'the cooldown of an own order expires', setUp: (cooldowns) => cooldowns.endOrder('m', 11_000), atMs: 14_500, left: [], isPaused: false },
   {
-    name: 'what a former holder left goes on',
-    act: (pauses) => pauses.restore([{ machineId: 'm', remainingMs: 1000 }], 0, 10_000),
+    name: 'the cooldown of a previous holder continues',
+    setUp: (cooldowns) => cooldowns.restore([{ machineId: 'm', remainingMs: 1000 }], 0, 10_000),
     atMs: 10_400,
     left: [{ machineId: 'm', remainingMs: 600 }],
     isPaused: true
   },
-  { name: 'and ends', act: (pauses) => pauses.restore([{ machineId: 'm', remainingMs: 1000 }], 0, 10_000), atMs: 11_000, left: [], isPaused: false },
+  { name: 'the cooldown of a previous holder expires', setUp: (cooldowns) => cooldowns.restore([{ machineId: 'm', remainingMs: 1000 }], 0, 10_000), atMs: 11_000, left: [], isPaused: false },
   {
-    name: 'a former holder of the version before may have ordered any machine',
-    act: (pauses) => pauses.restore([], Infinity, 10_000),
+    name: 'a previous holder with the previous software version may have ordered any machine',
+    setUp: (cooldowns) => cooldowns.restore([], Infinity, 10_000),
     atMs: 13_000,
     left: [],
-    allLeftMs: 500 + LATE_MS,
+    allLeftMs: 500 + ORDER_TIMEOUT_MS,
     isPaused: true
   },
   {
-    name: 'the longer of two',
-    act: (pauses) => {
-      pauses.restore([{ machineId: 'm', remainingMs: 1000 }], 0, 10_000)
-      pauses.endOrder('m', 10_500)
+    name: 'the longer of two cooldowns of a machine applies',
+    setUp: (cooldowns) => {
+      cooldowns.restore([{ machineId: 'm', remainingMs: 1000 }], 0, 10_000)
+      cooldowns.endOrder('m', 10_500)
     },
     atMs: 10_600,
     left: [{ machineId: 'm', remainingMs: 3400 }],
@@ -55,13 +55,13 @@
 ]
 
 describe('OrderPauses', () => {
-  for (const { name, act, atMs, left, allLeftMs = 0, isPaused } of cases) {
+  for (const { name, setUp: act, atMs, left, allLeftMs = 0, isPaused } of cases) {
     it(name, () => {
-      const pauses = new OrderCooldowns(() => PAUSE_MS)
-      act(pauses)
-      expect(pauses.isCoolingDown('m', atMs)).to.equal(isPaused)
-      expect(pauses.left(atMs)).to.deep.equal(left)
-      expect(pauses.globalRemainingMs(atMs)).to.equal(allLeftMs)
+      const cooldowns = new OrderCooldowns(() => COOLDOWN_MS)
+      act(cooldowns)
+      expect(cooldowns.isCoolingDown('m', atMs)).to.equal(isPaused)
+      expect(cooldowns.left(atMs)).to.deep.equal(left)
+      expect(cooldowns.globalRemainingMs(atMs)).to.equal(allLeftMs)
     })
   }
 })
--- a/packages/scheduler/src/test/PoolBalancer.test.ts
+++ b/packages/scheduler/src/test/PoolBalancer.test.ts
@@ -1,5 +1,5 @@
 /**
- * Guards against jobs that stand still because machines without a usable worker count as their service's room.
+ * Guards against stalled jobs: machines without a usable worker used to count as capacity of their service, so it got no other machines.
  */
 import { expect } from 'chai'
 import { workerIdOf, type ListedMachine } from '@quillscale/ports'
@@ -11,30 +11,30 @@
 const ORDERS_PER_S = 64
 const ROUND_MS = 100
 const MACHINE_MILLIS = 16_000
-/** Stated by the users: work that could run, with room for it, waits no longer than this. */
-const MOST_WAIT_MS = 6000
+/** Users' requirement: work that could run on available capacity waits no longer than this. */
+const MAX_WAIT_MS = 6000
 
 interface Case {
   readonly name: string
-  /** Machines up in the service's pool, of which so many have a usable worker at a time. */
+  /** Number of machines that are up in the service's pool; {@link usableAt} tells how many of them have a usable worker at a time. */
   readonly machines: number
   readonly usableAt: (atMs: number) => number
-  /** Machines that are needed. */
+  /** Number of machines that the service needs. */
   readonly need: number
   readonly moves: number
 }
 
 describe('PoolBalancer', () => {
   const cases: readonly Case[] = [
-    { name: 'none of the machines is of use', machines: 39, usableAt: () => 0, need: 27, moves: 27 },
-    { name: 'some of them are of use', machines: 10, usableAt: () => 4, need: 10, moves: 6 },
-    { name: 'all are of use', machines: 10, usableAt: () => 10, need: 10, moves: 0 },
-    { name: 'more are of use than are needed', machines: 10, usableAt: () => 4, need: 3, moves: 0 },
-    { name: 'workers that are away for as long as the store and two seconds', machines: 10, usableAt: (atMs) => atMs < 3500 ? 0 : 10, need: 10, moves: 0 },
-    { name: 'workers that are away again and again, each time briefly', machines: 10, usableAt: (atMs) => atMs % 3000 < 2500 ? 2 : 10, need: 10, moves: 0 }
+    { name: 'no machine is usable', machines: 39, usableAt: () => 0, need: 27, moves: 27 },
+    { name: 'some machines are usable', machines: 10, usableAt: () => 4, need: 10, moves: 6 },
+    { name: 'all machines are usable', machines: 10, usableAt: () => 10, need: 10, moves: 0 },
+    { name: 'more machines are usable than needed', machines: 10, usableAt: () => 4, need: 3, moves: 0 },
+    { name: 'workers are away during a store outage and two seconds more', machines: 10, usableAt: (atMs) => atMs < 3500 ? 0 : 10, need: 10, moves: 0 },
+    { name: 'workers are away repeatedly, each time briefly', machines: 10, usableAt: (atMs) => atMs % 3000 < 2500 ? 2 : 10, need: 10, moves: 0 }
   ]
   for (const { name, machines: count, usableAt, need, moves } of cases) {
-    it(`brings ${moves} machines where ${name}`, () => {
+    it(`moves ${moves} machines to the service if ${name}`, () => {
       const balancer = new PoolBalancer({ log: new TestLog(), ordersPerS: () => ORDERS_PER_S })
       const machines = new Map<string, ListedMachine>()
       const add = (machineId: string, pool: string): void => {
@@ -43,7 +43,7 @@
       for (let index = 0; index < count; index++) add(`m${index}`, SERVICE)
       for (let index = 0; index < need; index++) add(`p${index}`, PARKED_POOL)
       const moved = new Map<string, string>()
-      for (let atMs = 0; atMs <= MOST_WAIT_MS; atMs += ROUND_MS) {
+      for (let atMs = 0; atMs <= MAX_WAIT_MS; atMs += ROUND_MS) {
         const usable = [...Array(usableAt(atMs)).keys()].map((index) => `m${index}`)
         const demand: ServiceDemand = {
           service: SERVICE,
--- a/packages/scheduler/src/test/QuotaLedger.test.ts
+++ b/packages/scheduler/src/test/QuotaLedger.test.ts
@@ -12,15 +12,15 @@
 const PRESS = 'press' as AccountName
 const TASK_MILLIS = 100
 const ROUND_MS = 5
-/** What the users allow until a changed limit is kept and used. */
-const SETTLE_MS = 2000
-const WATCH_MS = 1500
-/** What the users allow for a job with nothing running, while its account is under half of its limit. */
+/** Users' requirement: a changed limit is respected and used within this time. */
+const LIMIT_CHANGE_BOUND_MS = 2000
+const OBSERVATION_MS = 1500
+/** Users' requirement: a job of which nothing runs starts within this time if its account uses less than half of its limit. */
 const START_BOUND_MS = 3000
-/** The last leases, and the time until all have heard of a configuration. */
-const GONE_BOUND_MS = 8000
+/** Time until the last leases have expired and every host has received the configuration. */
+const REMOVED_SERVICE_BOUND_MS = 8000
 
-/** One service's holder: starts what its grant has room for, and ends it after a while. */
+/** Simulates the duty holder of one service: starts the tasks that fit its grant, and ends each after {@link runMs}. */
 class Holder {
   readonly ledger: QuotaLedger
   readonly running = new Set<Run>()
@@ -73,7 +73,7 @@
     const run = { task } as unknown as Run
     this.running.add(run)
     this.ledger.addRun(run)
-    this.#fleet.noteMost()
+    this.#fleet.updatePeak()
     setTimeout(() => this.end(run), this.runMs)
   }
 
@@ -83,7 +83,7 @@
   }
 }
 
-/** Services that share an account's limit. */
+/** Simulates services that share an account's limit. */
 class Fleet {
   readonly store = new FaultyStore()
   readonly log = new TestLog()
@@ -91,7 +91,7 @@
   readonly records = new RecordReader(this.log, this.metrics)
   readonly holders = new Map<string, Holder>()
   configuration: FleetConfiguration
-  mostMillis = 0
+  peakMillis = 0
   #jobs = 0
 
   constructor (limitMillis: number) {
@@ -108,7 +108,7 @@
     }
   }
 
-  limit (limitMillis: number, services?: string[]): void {
+  setLimit (limitMillis: number, services?: string[]): void {
     this.configuration = this.#configurationOf(this.configuration.version + 1, limitMillis, services)
   }
 
@@ -119,15 +119,15 @@
     return tasksOf(createJob(spec), 0)[0] ?? []
   }
 
-  /** Gives a service's duty to a new holder, which finds what the one before had running. */
+  /** Gives a service's duty to a new holder, which takes over the runs and waiting tasks of its predecessor. */
   async takeOver (service: string, tasks: readonly Task[] = []): Promise<Holder> {
-    const former = this.holders.get(service)
-    former?.stop.abort()
+    const predecessor = this.holders.get(service)
+    predecessor?.stop.abort()
     const key = `duty/${service}`
     const held = (await this.store.get(key)).unwrap()
     const taken = (await this.store.compareAndSwap({ key, expectedModRevision: held?.modRevision ?? 0, value: 'x' })).unwrap()
-    const holder = new Holder(this, service, taken.swapped ? taken.modRevision : 0, [...tasks, ...former?.waiting ?? []])
-    for (const run of former?.running ?? []) {
+    const holder = new Holder(this, service, taken.swapped ? taken.modRevision : 0, [...tasks, ...predecessor?.waiting ?? []])
+    for (const run of predecessor?.running ?? []) {
       holder.running.add(run)
       holder.ledger.addRun(run)
       setTimeout(() => holder.end(run), holder.runMs)
@@ -140,14 +140,14 @@
     return [...this.holders.values()].flatMap(({ running }) => [...running]).reduce((sum, { task }) => sum + (task.job.spec.steps[0]?.cpuMillis ?? 0), 0)
   }
 
-  noteMost (): void {
-    this.mostMillis = Math.max(this.mostMillis, this.runningMillis)
+  updatePeak (): void {
+    this.peakMillis = Math.max(this.peakMillis, this.runningMillis)
   }
 
   async until (what: string, condition: () => boolean, timeoutMs: number): Promise<number> {
     const startedMs = performance.now()
     while (!condition()) {
-      if (performance.now() - startedMs > timeoutMs) throw new Error(`never: ${what}\n${this.log.lines.slice(-20).join('\n')}`)
+      if (performance.now() - startedMs > timeoutMs) throw new Error(`timed out waiting for: ${what}\n${this.log.lines.slice(-20).join('\n')}`)
       await delay(ROUND_MS)
     }
     return performance.now() - startedMs
@@ -162,46 +162,46 @@
   let fleet: Fleet
   afterEach(() => fleet.close())
 
-  it('lets all that waits run in the end, and never more than the limit at once', async () => {
+  it('runs all waiting tasks in the end, and never exceeds the limit', async () => {
     fleet = new Fleet(1000)
     const holders = await Promise.all(['a', 'b', 'c'].map((service) => fleet.takeOver(service, fleet.tasks(60))))
-    await fleet.until('all has run', () => holders.every(({ waiting }) => waiting.length === 0), 10_000)
-    expect(fleet.mostMillis).to.be.at.most(1000)
-    expect(fleet.mostMillis).to.be.at.least(900)
+    await fleet.until('all tasks have run', () => holders.every(({ waiting }) => waiting.length === 0), 10_000)
+    expect(fleet.peakMillis).to.be.at.most(1000)
+    expect(fleet.peakMillis).to.be.at.least(900)
   })
 
-  it('brings the unused rests of others together for a task that needs them all', async () => {
+  it('collects the unused grants of other services for a task that needs all of them', async () => {
     fleet = new Fleet(1000)
     const [a, b] = [await fleet.takeOver('a', fleet.tasks(9)), await fleet.takeOver('b', fleet.tasks(1))]
-    await fleet.until('both have run', () => a.waiting.length + b.waiting.length === 0, 2000)
+    await fleet.until('both services have run their tasks', () => a.waiting.length + b.waiting.length === 0, 2000)
     const c = await fleet.takeOver('c', fleet.tasks(1, 1000))
     expect(await fleet.until('the large task runs', () => c.startedMs !== undefined, START_BOUND_MS)).to.be.below(START_BOUND_MS)
   })
 
-  it('starts nothing by a limit that was lowered until what runs fits, and goes on then', async () => {
+  it('starts nothing after a limit was lowered until the running tasks fit, and continues then', async () => {
     fleet = new Fleet(2000)
     const a = await fleet.takeOver('a', fleet.tasks(20))
     a.runMs = 400
-    await fleet.until('all runs', () => a.running.size === 20, 2000)
-    fleet.limit(300)
+    await fleet.until('all tasks run', () => a.running.size === 20, 2000)
+    fleet.setLimit(300)
     a.waiting.push(...fleet.tasks(10))
     const b = await fleet.takeOver('b', fleet.tasks(3))
     await delay(150)
     expect(fleet.runningMillis).to.equal(2000)
-    fleet.mostMillis = 0
-    await fleet.until('the rest runs', () => a.waiting.length + b.waiting.length === 0, 8000)
-    expect(fleet.mostMillis).to.be.at.most(300)
+    fleet.peakMillis = 0
+    await fleet.until('the remaining tasks run', () => a.waiting.length + b.waiting.length === 0, 8000)
+    expect(fleet.peakMillis).to.be.at.most(300)
   })
 
-  const lowered: ReadonlyArray<{ readonly services: readonly string[], readonly limits: readonly number[], readonly taskMillis: number }> = [
+  const loweredLimits: ReadonlyArray<{ readonly services: readonly string[], readonly limits: readonly number[], readonly taskMillis: number }> = [
     { services: ['a', 'b'], limits: [4000, 1500], taskMillis: 500 },
     { services: ['a', 'b'], limits: [4000, 700], taskMillis: 500 },
     { services: ['a', 'b', 'c'], limits: [4000, 1500, 3000, 1100], taskMillis: 500 },
     { services: ['a', 'b', 'c', 'd', 'e'], limits: [6000, 2100, 900], taskMillis: 300 }
   ]
-  for (const { services, limits, taskMillis } of lowered) {
+  for (const { services, limits, taskMillis } of loweredLimits) {
     for (const seed of [1, 2, 3]) {
-      it(`goes on by each limit of ${limits.join(', ')} in ${services.length} services whose holders change, seed ${seed}`, async () => {
+      it(`makes progress under the limits ${limits.join(', ')} in ${services.length} services whose holders change, seed ${seed}`, async () => {
         const random = new SeededRandom(seed)
         const [firstLimit = 0, ...later] = limits
         fleet = new Fleet(firstLimit)
@@ -210,20 +210,20 @@
           await delay(100 + random.integer(100))
           const taken = await fleet.takeOver(random.pick(services))
           taken.runMs = 40
-          fleet.limit(limitMillis, [...services])
-          await delay(SETTLE_MS)
+          fleet.setLimit(limitMillis, [...services])
+          await delay(LIMIT_CHANGE_BOUND_MS)
           const before = [...fleet.holders.values()].map(({ waiting }) => waiting.length)
-          fleet.mostMillis = 0
-          await delay(WATCH_MS)
+          fleet.peakMillis = 0
+          await delay(OBSERVATION_MS)
           const started = [...fleet.holders.values()].map(({ waiting }, at) => (before[at] ?? 0) - waiting.length)
-          expect(Math.min(...started), `least started of ${started.join(', ')} by ${limitMillis}`).to.be.above(0)
-          expect(fleet.mostMillis).to.be.at.most(limitMillis)
+          expect(Math.min(...started), `fewest tasks started by a service, of ${started.join(', ')}, with the limit ${limitMillis}`).to.be.above(0)
+          expect(fleet.peakMillis).to.be.at.most(limitMillis)
         }
       }).timeout(30_000)
     }
   }
 
-  it('goes on where two services divide different sums', async () => {
+  it('makes progress if the recorded grants together exceed the limit', async () => {
     fleet = new Fleet(1500)
     const amounts = (cpuMillis: number): Resources => ({ cpuMillis, memoryMb: 0, gpus: 0 })
     const claimOf = (service: string, granted: number): QuotaClaim =>
@@ -232,7 +232,7 @@
     await fleet.store.transact({ conditions: [], puts: [{ key: quotaKey(PRESS), value }], removals: [] })
     const holders = await Promise.all(['a', 'b'].map((service) => fleet.takeOver(service, fleet.tasks(200, 500))))
     await fleet.until('both start tasks', () => holders.every(({ startedMs }) => startedMs !== undefined), START_BOUND_MS)
-    expect(fleet.mostMillis).to.be.at.most(1500)
+    expect(fleet.peakMillis).to.be.at.most(1500)
   })
 
   it('uses a raised limit', async () => {
@@ -240,52 +240,52 @@
     const a = await fleet.takeOver('a', fleet.tasks(30))
     a.runMs = 1000
     await fleet.until('the limit is used', () => a.running.size === 2, 2000)
-    fleet.limit(1500)
+    fleet.setLimit(1500)
     await fleet.until('the raised limit is used', () => a.running.size === 15, 1000)
   })
 
-  it('hands a predecessor\'s grant on, and takes it for another service that lacks it', async () => {
+  it('passes a grant on to the next holder, which gives it up for a service that lacks quota', async () => {
     fleet = new Fleet(1000)
     const a = await fleet.takeOver('a', fleet.tasks(10))
-    await fleet.until('all has run', () => a.waiting.length === 0 && a.running.size === 0, 2000)
+    await fleet.until('all tasks have run', () => a.waiting.length === 0 && a.running.size === 0, 2000)
     a.stop.abort()
     const b = await fleet.takeOver('b', fleet.tasks(10))
     b.runMs = 2000
     await delay(100)
     expect(b.running.size).to.be.below(10)
     await fleet.takeOver('a')
-    expect(await fleet.until('the other service has it', () => b.running.size === 10, START_BOUND_MS)).to.be.below(START_BOUND_MS)
+    expect(await fleet.until('the other service has the quota', () => b.running.size === 10, START_BOUND_MS)).to.be.below(START_BOUND_MS)
   })
 
-  it('takes back what a service held that is not configured any more, once its last leases are over', async () => {
+  it('frees the grant of a service that is no longer configured, once its last leases have expired', async () => {
     fleet = new Fleet(1000)
     const a = await fleet.takeOver('a', fleet.tasks(10))
-    await fleet.until('all has run', () => a.waiting.length === 0 && a.running.size === 0, 2000)
+    await fleet.until('all tasks have run', () => a.waiting.length === 0 && a.running.size === 0, 2000)
     a.stop.abort()
-    fleet.limit(1000, ['b', 'c'])
+    fleet.setLimit(1000, ['b', 'c'])
     const b = await fleet.takeOver('b', fleet.tasks(10))
     b.runMs = 20_000
-    await fleet.until('the other service has it', () => b.running.size === 10, GONE_BOUND_MS)
+    await fleet.until('the other service has the quota', () => b.running.size === 10, REMOVED_SERVICE_BOUND_MS)
   })
 
-  it('starts nothing by a record that cannot be read, and writes it anew', async () => {
+  it('starts nothing while the record is unreadable, and writes it anew', async () => {
     fleet = new Fleet(1000)
     await fleet.store.transact({ conditions: [], puts: [{ key: quotaKey(PRESS), value: '{"account":"press","claims":7}' }], removals: [] })
     const a = await fleet.takeOver('a', fleet.tasks(3))
     await delay(300)
     expect(a.running.size).to.equal(0)
-    await fleet.until('it has run', () => a.waiting.length === 0, START_BOUND_MS)
+    await fleet.until('the tasks have run', () => a.waiting.length === 0, START_BOUND_MS)
   })
 
-  it('counts nothing of accounts without a limit', async () => {
+  it('writes no record for accounts without a limit', async () => {
     fleet = new Fleet(0)
     const a = await fleet.takeOver('a', fleet.tasks(500))
-    await fleet.until('all has run', () => a.waiting.length === 0, 1000)
+    await fleet.until('all tasks have run', () => a.waiting.length === 0, 1000)
     expect((await fleet.store.list('quotas/')).unwrap().items).to.deep.equal([])
   })
 
   for (const seed of [1, 2, 3, 4, 5, 6]) {
-    it(`never exceeds the limit with lost answers, slow writes and holders that change, seed ${seed}`, async () => {
+    it(`never exceeds the limit with lost store responses, slow writes and changing holders, seed ${seed}`, async () => {
       fleet = new Fleet(1000)
       const random = new SeededRandom(seed)
       fleet.store.loseAnswers = () => random.next() < 0.15
@@ -296,8 +296,8 @@
         await delay(60)
         await fleet.takeOver(services[Math.floor(random.next() * services.length)] ?? 'a')
       }
-      await fleet.until('all has run', () => [...fleet.holders.values()].every(({ waiting }) => waiting.length === 0), 15_000)
-      expect(fleet.mostMillis).to.be.at.most(1000)
+      await fleet.until('all tasks have run', () => [...fleet.holders.values()].every(({ waiting }) => waiting.length === 0), 15_000)
+      expect(fleet.peakMillis).to.be.at.most(1000)
     })
   }
 })
