--- a/packages/policy/src/lib/jobs/CrashRecord.ts
+++ b/packages/policy/src/lib/jobs/CrashRecord.ts
@@ -1,24 +1,24 @@
 /**
- * What is held against a task: workers that may have ended because of it.
+ * Worker losses that a task may have caused.
  *
  * @module
  */
 
-/** The record. @public */
+/** Points and circumstances of the worker losses attributed to a task. @public */
 export interface CrashRecord {
-  /** By how each of the workers ended. */
+  /** Sum over the lost workers, by the kind of each loss. */
   points: number
-  /** Monotonic; when the last one was found to have ended, `undefined` if a former holder found it. */
+  /** Monotonic; when the last loss was detected, `undefined` if a previous holder detected it. */
   lastLossMs: number | undefined
-  /** Whether the task had just begun there, so that it is as likely the cause as any. */
+  /** Whether the task had just started on the lost worker, so that it is as likely the cause as any other. */
   hasEarlyLoss: boolean
-  /** Whether nothing but the task's own job can have ended that one. */
+  /** Whether only the task's own job can have caused the last loss. */
   isLastLossCertain: boolean
-  /** Whether the task had just begun on all of them. */
+  /** Whether the task had just started at every loss. */
   hasOnlyEarlyLosses: boolean
 }
 
-/** @param points - as recorded by former holders @returns the record @public */
+/** @param points - as stored by previous holders @returns a record with these points @public */
 export const createCrashRecord = (points = 0): CrashRecord => ({
   points, lastLossMs: undefined, hasEarlyLoss: false, isLastLossCertain: false, hasOnlyEarlyLosses: points === 0
 })
--- a/packages/policy/src/lib/jobs/JobSpec.ts
+++ b/packages/policy/src/lib/jobs/JobSpec.ts
@@ -1,92 +1,92 @@
 /**
- * A job as a client submits it, and as it is kept.
+ * The specification of a job, as clients submit it and as it is stored.
  *
  * @module
  */
 import * as z from 'zod'
 import type { AccountName } from '@quillscale/ports'
 
-/** Names a job; the client chooses it. @public */
+/** Identifies a job; chosen by the client. @public */
 export type JobId = string & { readonly __jobId: true }
 
 const JOB_ID_PATTERN = /^[0-9a-f]{16}$/i
 
-/** @param value - anything @returns whether it can name a job: 16 hexadecimal digits @public */
+/** @param value - a value of any type @returns whether it is a job id: 16 hexadecimal digits @public */
 export const isJobId = (value: unknown): value is JobId => typeof value === 'string' && JOB_ID_PATTERN.test(value)
 
 const count = z.number().int().nonnegative()
 
-/** Checks a step. @public */
+/** Validates a step. @public */
 export const stepSpecSchema = z.object({
-  /** How many tasks it has. */
+  /** Number of tasks of the step. */
   taskCount: count.min(1).max(10_000),
   cpuMillis: count.default(0),
   memoryMb: count.default(0),
   gpus: count.default(0),
   /** The client's rough guess of how long a task takes. */
   estimateMs: z.number().nonnegative().default(0),
-  /** Earlier steps, by number, that must be done first. */
+  /** Indices of earlier steps that must be done first. */
   dependsOn: z.array(count).default([]),
   isCheckpointing: z.boolean().default(false),
-  /** Its tasks work only together. */
+  /** Its tasks run only all at once. */
   isGang: z.boolean().default(false),
-  /** Its gang is slow unless it is within one rack. */
+  /** Its gang is slow unless all members run within one rack. */
   wantsOneRack: z.boolean().default(false),
   requiredLabel: z.string().default(''),
-  /** The rack that holds its data. */
+  /** The rack that holds the data of the step. */
   preferredRack: z.string().default(''),
   /** The most tasks of the step on one worker; 0 for no limit. */
   maxPerWorker: count.default(0),
-  /** Copies of a task may run side by side. */
+  /** Speculative copies of a task may run side by side. */
   allowsCopies: z.boolean().default(false),
   /** Its tasks run until the job is cancelled. */
   isLasting: z.boolean().default(false),
-  /** Tasks of one image behave alike. */
+  /** Tasks of the same image have similar run times. */
   image: z.string().default(''),
-  /** Of lasting tasks: the tail of their answer times is to stay below it; 0 for none. */
+  /** Target for the tail latency of lasting tasks; 0 for none. */
   targetTailMs: z.number().nonnegative().default(0),
-  /** Its tasks take the processor time that others leave; it is not counted against a worker's room. */
+  /** Its tasks run on leftover CPU time, which is not counted against the worker's capacity. */
   isFiller: z.boolean().default(false),
-  /** Of lasting tasks: how many may be away at once through this system's doing; `undefined` for no limit. */
+  /** The most lasting tasks that this system may make unavailable at once; `undefined` for no limit. */
   maxAway: count.optional()
 })
 
-/** Checks who handed a job in. @public */
+/** Validates the submitter of a job. @public */
 export const jobOwnerSchema = z.object({
   account: z.custom<AccountName>((value) => typeof value === 'string' && value !== ''),
-  /** The start of the hash of its key: the account is still known by it after it was renamed. */
+  /** Prefix of the hash of its key, which identifies the account after it was renamed. */
   keyTag: z.string()
 })
 
-/** Checks a job as it is kept. @public */
+/** Validates a stored job. @public */
 export const jobSpecSchema = z.object({
   jobId: z.custom<JobId>(isJobId),
   queue: z.string(),
-  /** `undefined` for a job that was handed in without a key. */
+  /** `undefined` for a job submitted without a key. */
   owner: jobOwnerSchema.optional(),
-  /** Its queue was public: anybody may ask for it and cancel it. */
+  /** Its queue was public: anybody may query and cancel the job. */
   isPublic: z.boolean().default(false),
   command: z.string(),
   steps: z.array(stepSpecSchema).min(1),
-  /** On the accepting host's clock, since 1970. */
+  /** Unix time on the clock of the accepting host. */
   submittedMs: z.number(),
-  /** The steps run so often, the first time at `firstRunMs`, then each `intervalMs`; `undefined` for once at once. */
+  /** Runs of the whole job: the first at `firstRunMs`, then every `intervalMs`; `undefined` for one run at once. */
   schedule: z.object({ runs: count.min(1), firstRunMs: z.number(), intervalMs: z.number() }).optional()
 })
 
 /** A step of a job. @public */
 export type StepSpec = z.infer<typeof stepSpecSchema>
-/** The client account that handed a job in, as recorded with it. @public */
+/** The client account that submitted a job, as stored with it. @public */
 export type JobOwner = z.infer<typeof jobOwnerSchema>
-/** A job. @public */
+/** Specification of a job. @public */
 export type JobSpec = z.infer<typeof jobSpecSchema>
 
 /**
- * Tells whether a caller may ask for a job or cancel it.
+ * Decides whether a caller may query or cancel a job.
  *
- * @param owner - of the job, `undefined` if everybody may
- * @param caller - by its present account and key, `undefined` without a key
- * @returns whether account or key are the owner's: keys are replaced and accounts renamed while jobs run
+ * @param owner - the owner of the job, `undefined` if everybody may
+ * @param caller - the current account and key of the caller, `undefined` without a key
+ * @returns whether account or key match the owner: keys are replaced and accounts renamed while jobs run
  * @public
  */
 export function isOwnedBy (owner: JobOwner | undefined, caller: JobOwner | undefined): boolean {
@@ -94,7 +94,7 @@
   return caller !== undefined && (caller.account === owner.account || caller.keyTag === owner.keyTag)
 }
 
-/** Finds what no schema sees. @param steps - of a job @returns the field that is wrong and why, `undefined` if none @public */
+/** Checks the order of dependencies, which the schema cannot. @param steps - steps of a job @returns the invalid field and why, if any @public */
 export function findDependencyProblem (steps: readonly StepSpec[]): string | undefined {
   const index = steps.findIndex((step, at) => step.dependsOn.some((earlier) => earlier >= at))
   return index < 0 ? undefined : `steps.${index}.dependsOn: names a step that does not come before it`
--- a/packages/policy/src/lib/jobs/JobState.ts
+++ b/packages/policy/src/lib/jobs/JobState.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs, tasks and runs as the scheduler of a service holds them in memory.
+ * In-memory state of jobs, tasks and runs in the scheduler of a service.
  *
  * @module
  */
@@ -7,12 +7,12 @@
 import { createCrashRecord, type CrashRecord } from './CrashRecord.js'
 import type { JobSpec, StepSpec } from './JobSpec.js'
 
-/** What a job's clients are told. @public */
+/** Status of a job as reported to clients. @public */
 export type JobStatus = 'queued' | 'running' | 'succeeded' | 'failed' | 'cancelled'
 
 /**
- * What is known of a run. `recording`: being written to the store; `starting`: ordered, not answered; `running`; `stopping`;
- * `unconfirmed`: placed by an earlier holder, the worker has not been asked yet.
+ * Phase of a run. `recording`: being written to the store; `starting`: the start request is unanswered; `running`; `stopping`;
+ * `unconfirmed`: placed by a previous holder, and the worker has not been asked yet.
  *
  * @public
  */
@@ -21,28 +21,28 @@
 /** One run of a task on one worker. @public */
 export interface Run extends RunRef {
   readonly task: Task
-  /** The worker's lifetime; the next one of that worker where the order turned out to have reached that. */
+  /** Instance of the worker; replaced by the worker's next instance if the start request turns out to have reached that one. */
   instanceId: string
   readonly ticket?: string | undefined
   phase: RunPhase
-  /** Monotonic; when it was placed, `undefined` where an earlier holder did that. */
+  /** Monotonic; when it was placed, `undefined` if a previous holder placed it. */
   readonly placedMs: number | undefined
   /** Monotonic; when the worker confirmed the start. */
   startedMs: number | undefined
   /** Monotonic; when the worker confirmed the stop. */
   stopConfirmedMs: number | undefined
-  /** An order to start it may still be carried out. */
+  /** The worker may still act on a start request. */
   isUncertain: boolean
-  /** An earlier holder wrote down that it would be stopped. */
+  /** A previous holder recorded that it is to be stopped. */
   shouldStop: boolean
   /** Monotonic; when the worker last listed it. */
   lastListedMs: number
-  /** Last reported progress, and when it last grew. */
+  /** Last reported progress; `progressMs` is when it last grew. */
   percent: number
   progressMs: number
-  /** The share at which it was told to work. */
+  /** Pace requested from the worker, in percent of full speed. */
   pacePercent: number
-  /** Last reported tail of answer times or processor use. */
+  /** Last reported tail latency or CPU usage. */
   load: number
 }
 
@@ -50,81 +50,81 @@
 export interface Task {
   readonly job: Job
   readonly stepIndex: number
-  /** Which of the job's scheduled times, 0 without a schedule. */
+  /** Index of the scheduled run of the job, 0 without a schedule. */
   readonly occurrence: number
   readonly index: number
   readonly key: string
-  /** JOB.TIME.STEP: what it shares with the other tasks of its step. */
+  /** JOB.OCCURRENCE.STEP, the prefix shared by all tasks of the step. */
   readonly stepKey: string
   isDone: boolean
   lastRunNumber: number
   failures: number
-  /** Workers that may have ended because of it. */
+  /** Worker losses that the task may have caused. */
   crashes: CrashRecord
   checkpoint: string
   readonly runs: Run[]
-  /** Instances on which it failed or stood still. */
+  /** Worker instances on which it failed or stalled. */
   readonly avoidedInstances: Set<string>
-  /** Monotonic; since when it could have been placed. */
+  /** Monotonic; since when it has been ready for placement. */
   waitingSinceMs: number | undefined
 }
 
-/** Why a job has failed: a task of it failed too often, or ended the workers that started it. @public */
+/** Why a job failed: one of its tasks failed too often, or crashed the workers that started it. @public */
 export interface JobFailure {
   readonly reason: 'attempts' | 'crashes'
   readonly taskKey: string
 }
 
-/** A job. @public */
+/** A job with the state of its tasks. @public */
 export interface Job {
   readonly spec: JobSpec
-  /** By time, then by step. */
+  /** Tasks by occurrence, then by step; filled on first access. */
   readonly occurrences: Map<number, Task[][]>
   status: JobStatus
-  /** Its account had sent more than its share of jobs when it came: others go first. */
+  /** Its account was beyond its share of jobs when it was submitted, so that others go first. */
   isOverShare: boolean
-  /** Of one that failed, `undefined` where an older version ended it. */
+  /** Set for a failed job, except where an older software version ended it. */
   failure: JobFailure | undefined
   /** Wall clock; when it ended. */
   endedMs: number | undefined
 }
 
-/** @param spec - as accepted @returns the job before anything ran @public */
+/** @param spec - the accepted specification @returns a job of which nothing has run @public */
 export function createJob (spec: JobSpec): Job {
   return { spec, occurrences: new Map(), status: 'queued', isOverShare: false, failure: undefined, endedMs: undefined }
 }
 
-/** @param job - any, or what is kept of it @returns whether nothing more is to be run @public */
+/** @param job - a job or its status @returns whether it has ended @public */
 export const hasEnded = (job: Pick<Job, 'status'>): boolean => job.status === 'succeeded' || job.status === 'failed' || job.status === 'cancelled'
 
-/** @param task - any @returns its step @public */
+/** @param task - a task @returns the specification of its step @public */
 export const stepOf = (task: Task): StepSpec => task.job.spec.steps[task.stepIndex] as StepSpec
 
-/** @param job - any @returns how many times its steps run @public */
+/** @param job - a job @returns how many times its steps run @public */
 export const occurrenceCount = (job: Job): number => job.spec.schedule?.runs ?? 1
 
-/** @param job - any @param time - from 0 @returns when it is due on the wall clock @public */
-export function dueMs (job: Job, time: number): number {
+/** @param job - a job @param occurrence - index of the occurrence @returns when it is due on the wall clock @public */
+export function dueMs (job: Job, occurrence: number): number {
   const { schedule, submittedMs } = job.spec
-  return schedule === undefined ? submittedMs : schedule.firstRunMs + time * schedule.intervalMs
+  return schedule === undefined ? submittedMs : schedule.firstRunMs + occurrence * schedule.intervalMs
 }
 
-/** @param job - any @param time - from 0 @returns the tasks of that time by step, made when first asked for @public */
-export function tasksOf (job: Job, time: number): Task[][] {
-  const known = job.occurrences.get(time)
+/** @param job - a job @param occurrence - index of the occurrence @returns its tasks by step, created on first access @public */
+export function tasksOf (job: Job, occurrence: number): Task[][] {
+  const known = job.occurrences.get(occurrence)
   if (known !== undefined) return known
-  const steps = job.spec.steps.map((step, stepIndex) => Array.from({ length: step.taskCount }, (_, index) => createTask(job, stepIndex, time, index)))
-  job.occurrences.set(time, steps)
+  const steps = job.spec.steps.map((step, stepIndex) => Array.from({ length: step.taskCount }, (_, index) => createTask(job, stepIndex, occurrence, index)))
+  job.occurrences.set(occurrence, steps)
   return steps
 }
 
-function createTask (job: Job, stepIndex: number, time: number, index: number): Task {
-  const stepKey = `${job.spec.jobId}.${time}.${stepIndex}`
+function createTask (job: Job, stepIndex: number, occurrence: number, index: number): Task {
+  const stepKey = `${job.spec.jobId}.${occurrence}.${stepIndex}`
   const key = `${stepKey}.${index}`
   return {
     job,
     stepIndex,
-    occurrence: time,
+    occurrence,
     index,
     key,
     stepKey,
@@ -139,31 +139,31 @@
   }
 }
 
-/** @param job - any @param taskKey - JOB.TIME.STEP.INDEX @returns the task @public */
+/** @param job - a job @param taskKey - JOB.OCCURRENCE.STEP.INDEX @returns the task @public */
 export function findTask (job: Job, taskKey: string): Task | undefined {
-  const [, time, step, index] = taskKey.split('.')
-  const isTime = Number.isInteger(Number(time)) && Number(time) >= 0 && Number(time) < occurrenceCount(job)
+  const [, occurrence, step, index] = taskKey.split('.')
+  const isTime = Number.isInteger(Number(occurrence)) && Number(occurrence) >= 0 && Number(occurrence) < occurrenceCount(job)
   if (!isTime) return undefined
-  return tasksOf(job, Number(time))[Number(step)]?.[Number(index)]
+  return tasksOf(job, Number(occurrence))[Number(step)]?.[Number(index)]
 }
 
-/** @param job - any @returns all tasks that were made so far @public */
+/** @param job - a job @returns all tasks created so far @public */
 export function allTasks (job: Job): Task[] {
   return [...job.occurrences.values()].flat(2)
 }
 
 /**
- * Lists the steps whose turn has come.
+ * Lists the unfinished steps that are due and whose dependencies are done.
  *
- * @param job - that has not ended
- * @param wallMs - the present time of day
+ * @param job - a job that has not ended
+ * @param wallMs - current wall-clock time
  * @returns their tasks, step by step
  * @public
  */
 export function listReadySteps (job: Job, wallMs: number): Task[][] {
   const open: Task[][] = []
-  for (let time = 0; time < occurrenceCount(job) && (job.spec.schedule === undefined || dueMs(job, time) <= wallMs); time++) {
-    const steps = tasksOf(job, time)
+  for (let occurrence = 0; occurrence < occurrenceCount(job) && (job.spec.schedule === undefined || dueMs(job, occurrence) <= wallMs); occurrence++) {
+    const steps = tasksOf(job, occurrence)
     const isStepDone = steps.map((tasks) => tasks.every(({ isDone }) => isDone))
     steps.forEach((tasks, index) => {
       const isOpen = job.spec.steps[index]?.dependsOn.every((earlier) => isStepDone[earlier]) === true
@@ -173,10 +173,10 @@
   return open
 }
 
-/** @param job - any @returns whether every task of every time has ended `done` @public */
+/** @param job - a job @returns whether every task of every occurrence has ended `done` @public */
 export function isJobDone (job: Job): boolean {
-  for (let time = 0; time < occurrenceCount(job); time++) {
-    if (job.occurrences.get(time)?.every((tasks) => tasks.every(({ isDone }) => isDone)) !== true) return false
+  for (let occurrence = 0; occurrence < occurrenceCount(job); occurrence++) {
+    if (job.occurrences.get(occurrence)?.every((tasks) => tasks.every(({ isDone }) => isDone)) !== true) return false
   }
   return true
 }
--- a/packages/policy/src/lib/jobs/RunTimeEstimator.ts
+++ b/packages/policy/src/lib/jobs/RunTimeEstimator.ts
@@ -1,24 +1,24 @@
 /**
- * Learns how long tasks of an image run: clients' guesses are far off.
+ * Estimates run times of tasks by image from finished runs, since clients' guesses are far off.
  *
  * @module
  */
 import type { StepSpec } from './JobSpec.js'
 
-/** Weight of a new sample: about the last ten runs count. */
+/** Smoothing factor of the moving average: about the last ten runs count. */
 const SAMPLE_WEIGHT = 0.15
-/** A step without a guess and without samples; about the mean of the tasks of all services known so far, in ms. */
+/** Used for a step without an estimate or samples; about the mean over the tasks of all services. */
 const DEFAULT_RUN_MS = 1000
-/** Images remembered; the oldest are forgotten. */
+/** Images kept; the oldest are dropped beyond this. */
 const MAX_IMAGES = 2000
 
 interface Estimate { meanMs: number, samples: number }
 
-/** Run times by image. @public */
+/** Keeps a moving average of the run time of each image. @public */
 export class RunTimeEstimator {
   readonly #images = new Map<string, Estimate>()
 
-  /** @param step - whose task ended `done` @param tookMs - from its start */
+  /** @param step - the step whose task ended `done` @param tookMs - time since its start */
   addSample (step: StepSpec, tookMs: number): void {
     if (step.image === '' || step.isLasting) return
     const known = this.#images.get(step.image)
@@ -32,12 +32,12 @@
     known.meanMs += (tookMs - known.meanMs) * Math.max(SAMPLE_WEIGHT, 1 / known.samples)
   }
 
-  /** @param step - any @returns how long one of its tasks is expected to run */
+  /** @param step - a step @returns the expected run time of one of its tasks */
   expectedMs (step: StepSpec): number {
     return this.#images.get(step.image)?.meanMs ?? (step.estimateMs > 0 ? step.estimateMs : DEFAULT_RUN_MS)
   }
 
-  /** @param step - any @returns whether the expectation rests on runs of its image */
+  /** @param step - a step @returns whether its expected run time comes from runs of its image */
   hasSamples (step: StepSpec): boolean {
     return this.#images.has(step.image)
   }
--- a/packages/policy/src/lib/jobs/crashes.ts
+++ b/packages/policy/src/lib/jobs/crashes.ts
@@ -1,13 +1,13 @@
 /**
- * Decides whether a task ends the workers that start it, and when it is given up.
+ * Detects tasks that crash the workers that start them, and decides when to give such a task up.
  *
- * The fault it answers: a task that ends each worker within milliseconds of its start never fails by any worker's report, so that attempts
- * do not bound it. One such task was started 117 times in a minute, and what ran beside it ended with each worker.
+ * A task that crashes its worker within milliseconds is never reported as failed, so the limit on attempts does not bound it. One such task
+ * was started 117 times in a minute, and every run beside it was lost with each worker.
  *
- * Every worker that may have ended under a task counts, by points: in full where it ended unplanned and by itself, half where something
- * else is as likely the cause, not at all where it was to end, or another job turned out to be the cause, and it had lived on under the task
- * for a while. So no task is started more than five times that way, twice after the third worker at most, whatever was taken for the cause; and a
- * task that only stood by is not given up for what took its rack or zone away twice.
+ * Each lost worker adds points to the tasks that ran on it: full points if it ended unexpectedly and alone, half if something else is as likely
+ * the cause, and none if it was due to end or another job turned out to be the cause, provided that the worker had kept running for a while
+ * after the task started. A task is thus started at most five times, and at most twice after the third crash, whatever the cause was taken to
+ * be. A bystander is not given up because its rack or zone was lost twice.
  *
  * @module
  */
@@ -15,51 +15,51 @@
 import { stepOf, type Run, type Task } from './JobState.js'
 
 /**
- * How a worker ended under a task. `crash`: unplanned and by itself; `shared`: others that had nothing in common with it ended at the same
- * time nearby; `beside`: a task of another job, suspected before, had just begun there; `silent`: its leases are over, and nobody knows why
- * it does not answer; `unclear`: it was to end, but was not heard of since the task began; `cleared`: another job turned out to be the cause.
+ * How a worker was lost while a task ran on it. `crash`: unexpectedly and alone; `shared`: unrelated workers nearby were lost at the same time;
+ * `beside`: a task of another job that was already suspect had just started there; `silent`: its leases expired and it does not answer, for an
+ * unknown reason; `unclear`: it was due to end, but has not answered since the task started; `cleared`: another job turned out to be the cause.
  *
  * @public
  */
 export type WorkerLossKind = 'crash' | 'shared' | 'beside' | 'silent' | 'unclear' | 'cleared'
 
-/** What each counts. @public */
+/** Points that each kind of loss adds to a task. @public */
 export const CRASH_POINTS: Readonly<Record<WorkerLossKind, number>> = { crash: 2, shared: 1, beside: 1, silent: 1, unclear: 1, cleared: 0 }
 
-/** The third crash, or the fifth end of a doubtful cause: the users allow two more starts after three crashes. */
+/** Reached by the third crash, or the fifth loss of doubtful cause: users allow two more starts after three crashes. */
 const GIVE_UP_POINTS = 5
-/** The second crash is enough where both workers ended soon after the start, and the task's job was alone on the second. */
+/** Two crashes suffice if both came soon after the start and only the task's job ran on the second worker. */
 const CERTAIN_GIVE_UP_POINTS = 4
-/** From the first crash on a task is placed apart from other jobs, and gets no copies; so is one whose worker ended soon after its start. */
+/** From the first crash on, or after one early loss, a task is isolated from other jobs and gets no speculative copies. */
 const SUSPECT_POINTS = 2
-/** Crashing tasks end their worker some 10 ms after their start, and that is known 90 to 350 ms later. @public */
+/** A loss is early within this time of the start: a crash comes some 10 ms after it and is detected 90 to 350 ms later. @public */
 export const EARLY_LOSS_MS = 500
-/** One that lasts, and is still at work after so long, does not end the workers that start it. */
+/** A run that is still going after this time does not crash its worker. */
 const SURVIVAL_MS = 3000
-/** Before a task is given up: others of a rack or zone that lost power are known to be gone within this time. */
+/** Wait before giving a task up: if a rack or zone lost power, its other workers are detected as lost within this time. */
 const GIVE_UP_DELAY_MS = 300
 
-/** @param task - any @returns whether it may end the workers that start it @public */
+/** @param task - a task @returns whether it may crash the workers that start it @public */
 export const isCrashSuspect = ({ crashes }: Task): boolean => crashes.points >= SUSPECT_POINTS || crashes.hasEarlyLoss
 
-/** @param run - any @param nowMs - monotonic @returns whether its worker may yet end of it, so that no other job should be there @public */
+/** @param run - a run @param nowMs - monotonic @returns whether it may still crash its worker, so that no other job should run there @public */
 export const mayCrashWorker = (run: Run, nowMs: number): boolean => isCrashSuspect(run.task) && !hasSurvived(run, nowMs)
 
-/** `wait`: what took the worker away is not known yet, and the task is not placed meanwhile. @public */
+/** Whether a task may be placed. `wait`: the cause of its last worker loss is not known yet. @public */
 export type PlacementDecision = 'place' | 'wait' | 'give-up'
 
-/** @param task - that is not running @param nowMs - monotonic @returns what to do with it @public */
+/** @param task - a task without a run @param nowMs - monotonic @returns whether to place it, wait or give it up @public */
 export function decidePlacement ({ crashes: { points, isLastLossCertain, hasOnlyEarlyLosses, lastLossMs } }: Task, nowMs: number): PlacementDecision {
   if (points < (isLastLossCertain && hasOnlyEarlyLosses ? CERTAIN_GIVE_UP_POINTS : GIVE_UP_POINTS)) return 'place'
   return lastLossMs !== undefined && nowMs - lastLossMs < GIVE_UP_DELAY_MS ? 'wait' : 'give-up'
 }
 
 /**
- * Clears a task that lasts once it has been at work for long: over weeks, each of them outlives more than three workers.
+ * Clears the points of a lasting task that has survived its start: over weeks, each such task outlives more than three workers.
  *
- * @param run - that its worker lists
+ * @param run - a run that its worker lists
  * @param nowMs - monotonic
- * @returns whether anything was held against it
+ * @returns whether the task had points
  * @public
  */
 export function clearCrashRecordIfSurvived (run: Run, nowMs: number): boolean {
--- a/packages/policy/src/lib/jobs/rankStep.ts
+++ b/packages/policy/src/lib/jobs/rankStep.ts
@@ -1,9 +1,8 @@
 /**
- * Orders waiting steps by which should get room first.
+ * Orders waiting steps by which should be placed first.
  *
- * The load it answers: more work that can be in time than room, at the height of a service's turn, while a zone is cut off, or after an
- * outage. Earliest deadline first then begins every job and finishes most of them too late; so what is begun goes first, which also lets more
- * of the largest jobs be in time.
+ * Under overload (peak load of a service, a partitioned zone, recovery after an outage), earliest deadline first starts every job and finishes
+ * most of them too late. Jobs that have made the most progress therefore go first, which also lets more of the largest jobs finish in time.
  *
  * @module
  */
@@ -11,32 +10,32 @@
 import { dueMs, stepOf, type Job, type Task } from './JobState.js'
 import type { RunTimeEstimator } from './RunTimeEstimator.js'
 
-/** Up to this multiple of its objective a job still earns something; from the users' rules page. */
+/** A job still has some value up to this multiple of its objective, by the users' rules page. */
 const LATE_FACTOR = 3
 
 /**
- * Which kind of need a step has; lower goes first: tasks that last, then what can be in time, late but of some use, what its account sends
- * beyond its share, or what nobody waits for any more.
+ * Tier of a step; lower goes first: lasting tasks, lasting fillers, jobs that can finish in time, late jobs of some value, jobs beyond their
+ * account's share, and jobs that nobody waits for any more.
  *
  * @public
  */
 export const RANK_TIERS = { lasting: 0, filler: 1, inTime: 2, late: 3, overShare: 4, pastUse: 5 } as const
-/** One of them. @public */
+/** One of {@link RANK_TIERS}. @public */
 export type RankTier = typeof RANK_TIERS[keyof typeof RANK_TIERS]
 
-/** Where a step stands in the order. @public */
+/** Sort key of a step. @public */
 export interface StepRank {
   readonly tier: RankTier
   readonly priority: number
-  /** Share of its job's work that is done or placed. */
+  /** Share of the job's work that is done or placed. */
   readonly placedShare: number
-  /** What is left of that work, in thousandths of a core times ms. */
+  /** Remaining work of the job, in thousandths of a core times ms. */
   readonly workLeft: number
-  /** By when it should start. */
+  /** Latest start that still meets the objective. */
   readonly startByMs: number
 }
 
-/** @param job - any @param times - learned @param isLeft - which steps count @returns its longest chain of work */
+/** @param job - a job @param times - learned run times @param isLeft - which steps count @returns the length of its critical path */
 function criticalPathMs (job: Job, times: RunTimeEstimator, isLeft: (stepIndex: number) => boolean): number {
   const endMs: number[] = []
   job.spec.steps.forEach((step, index) => {
@@ -46,7 +45,7 @@
   return Math.max(0, ...endMs)
 }
 
-/** @returns the work of those tasks of a job that a condition holds for; steps that nobody asked for yet count whole */
+/** Sums the work of the tasks that satisfy a condition; steps whose tasks are not created yet count in full. */
 function sumWork (job: Job, steps: readonly Task[][], times: RunTimeEstimator, isCounted: (task: Task) => boolean): number {
   return job.spec.steps.reduce((sum, step, index) => {
     const tasks = steps[index]?.filter(isCounted).length ?? step.taskCount
@@ -57,11 +56,11 @@
 /**
  * Ranks a step.
  *
- * @param task - one of its waiting tasks
- * @param queue - of its job, `undefined` when the queue was removed
+ * @param task - a waiting task of the step
+ * @param queue - the job's queue, `undefined` if it was removed
  * @param times - learned run times
- * @param wallMs - the present time of day
- * @returns its place
+ * @param wallMs - current wall-clock time
+ * @returns the rank of the step
  * @public
  */
 export function rankStep (task: Task, queue: QueueConfiguration | undefined, times: RunTimeEstimator, wallMs: number): StepRank {
@@ -85,18 +84,18 @@
   }
 }
 
-/** @param earliestEndMs - if it had all the room @param startMs - from when it counts @param objectiveMs - in time until then */
+/** @param earliestEndMs - end with unlimited capacity @param startMs - when the job is due @param objectiveMs - time allowed from then on */
 function tierOf (earliestEndMs: number, startMs: number, objectiveMs: number): RankTier {
   if (earliestEndMs <= startMs + objectiveMs) return RANK_TIERS.inTime
   return earliestEndMs <= startMs + LATE_FACTOR * objectiveMs ? RANK_TIERS.late : RANK_TIERS.pastUse
 }
 
 /**
- * Compares two ranks. Nobody waits any more for what is too late: there the least work goes first, so that most of it is over soon.
+ * Compares two ranks. Among jobs that nobody waits for any more, the least remaining work goes first, so that most of them end soon.
  *
  * @param a - a rank
  * @param b - another
- * @returns below 0 if the first goes first
+ * @returns a negative number if the first goes first
  * @public
  */
 export function compareRanks (a: StepRank, b: StepRank): number {
--- a/packages/policy/src/lib/machines/MachineNeedTracker.ts
+++ b/packages/policy/src/lib/machines/MachineNeedTracker.ts
@@ -1,24 +1,24 @@
 /**
- * What services need of machines, now, lately and soon, by what their schedulers write.
+ * Tracks how many machines services need, from the demand that their schedulers report.
  *
  * @module
  */
 import { machinesNeeded, type ServiceDemand } from './planPools.js'
 
-/** Room that was needed so lately is not given back. @public */
+/** Machines that were needed within this time are not released. @public */
 export const NEED_WINDOW_MS = 1200
-/** Growth of a need is measured over this, and extended by how long a move takes until the machine works; at most by this factor. */
+/** Growth is measured over this window and extrapolated by the lead time of a move, at most to a multiple of the present need. */
 const GROWTH_WINDOW_MS = 1000
 const MOVE_LEAD_TIME_MS = 1500
 const MAX_GROWTH_FACTOR = 2
 
 interface Need { readonly machines: number, readonly atMs: number }
 
-/** The needs. @public */
+/** Keeps the recent machine needs of each service. @public */
 export class MachineNeedTracker {
   readonly #needs = new Map<string, Need[]>()
 
-  /** Takes note of the present needs. @param demands - present @param nowMs - monotonic @returns by service, the most that was needed lately */
+  /** Records the present needs. @param demands - present demands @param nowMs - monotonic @returns the recent peak need by service */
   trackRecentPeak (demands: readonly ServiceDemand[], nowMs: number): Map<string, number> {
     return new Map(demands.map((demand) => {
       const needs = (this.#needs.get(demand.service) ?? []).filter(({ atMs }) => nowMs - atMs < NEED_WINDOW_MS)
@@ -28,7 +28,7 @@
     }))
   }
 
-  /** @param demands - present, taken note of @param nowMs - monotonic @returns by service, what a growing need will be when a machine ordered now works */
+  /** @param demands - recorded demands @param nowMs - monotonic @returns by service, the need when a machine ordered now will be ready */
   predictNeed (demands: readonly ServiceDemand[], nowMs: number): Map<string, number> {
     return new Map(demands.map(({ service }) => {
       const needs = this.#needs.get(service) ?? []
--- a/packages/policy/src/lib/machines/computeServiceDemand.ts
+++ b/packages/policy/src/lib/machines/computeServiceDemand.ts
@@ -1,5 +1,5 @@
 /**
- * Sums up what a service needs of machines.
+ * Computes the demand of a service for machines.
  *
  * @module
  */
@@ -10,24 +10,24 @@
 import { LASTING_RUN_WEIGHT, type ServiceDemand } from './planPools.js'
 import type { WorkerView } from '../placement/WorkerView.js'
 
-/** What the sum is made of. @public */
+/** State from which the demand of a service is computed. @public */
 export interface DemandSources {
   readonly service: string
   readonly jobs: readonly Job[]
   readonly workerViews: readonly WorkerView[]
-  /** What each account may have running, `undefined` without a limit: no machine is needed for what exceeds it. */
+  /** Limit of an account, `undefined` if it has none; work beyond it needs no machines. */
   readonly limitOf: (account: AccountName) => Resources | undefined
   /** Monotonic. */
   readonly nowMs: number
   readonly wallMs: number
 }
 
-/** Lasting tasks are spread over so many machines at least: one that is lost takes only a part of them. */
+/** Lasting tasks are spread over at least this many machines, so that the loss of one takes only a part of them. */
 const MIN_MACHINES = 2
-/** For a service none of whose workers is known: the smallest machine known so far, in thousandths of a core. */
+/** Assumed machine size for a service without available workers: the smallest machine in use, in thousandths of a core. */
 const DEFAULT_MACHINE_MILLIS = 16_000
 
-/** @param sources - jobs and workers of a service @returns its demand @public */
+/** @param sources - jobs and workers of a service @returns the demand of the service @public */
 export function computeServiceDemand ({ service, jobs, workerViews, limitOf, nowMs, wallMs }: DemandSources): ServiceDemand {
   const wanted = new DemandByAccount(limitOf)
   let leastMachines = MIN_MACHINES
@@ -54,7 +54,7 @@
 
 interface AccountDemand { cpuMillis: number, resources: Resources }
 
-/** Sums up what open tasks want, each account's no higher than it may have. */
+/** Sums the demand of unfinished tasks by account, and caps it at the account's limit. */
 class DemandByAccount {
   readonly #limitOf: DemandSources['limitOf']
   readonly #wishes = new Map<AccountName | undefined, AccountDemand>()
--- a/packages/policy/src/lib/machines/planDrain.ts
+++ b/packages/policy/src/lib/machines/planDrain.ts
@@ -1,29 +1,29 @@
 /**
- * Decides what to stop on a worker that is to be emptied.
+ * Decides which runs to stop on a worker that is being drained.
  *
  * @module
  */
 import { stepOf, type Run, type Task } from '../jobs/JobState.js'
 
-/** A task that neither lasts nor saves its progress may finish; after this it is stopped. The longest tasks that are declared run 4.2 s. */
+/** Time for tasks that neither last nor checkpoint to finish before they are stopped; the longest declared tasks run 4.2 s. */
 const FINISH_TIMEOUT_MS = 4500
-/** A lasting task is at work when its percent is this. */
+/** Progress at which a lasting task is ready. */
 const READY_PERCENT = 100
-/** A report that is older says nothing: workers are asked at least each second. */
+/** Older reports are ignored; workers are polled at least every second. */
 const REPORT_VALID_MS = 1600
 
-/** @param task - that lasts @param nowMs - monotonic @returns whether a worker has lately reported it at work @public */
+/** @param task - a lasting task @param nowMs - monotonic @returns whether a worker has recently reported it as ready @public */
 export function isReportedReady (task: Task, nowMs: number): boolean {
   return task.runs.some((run) => run.phase === 'running' && run.percent >= READY_PERCENT && nowMs - run.lastListedMs < REPORT_VALID_MS)
 }
 
 /**
- * Tells whether a lasting task may be taken away now.
+ * Decides whether a lasting task may be stopped now, by the disruption budget (`maxAway`) of its step.
  *
- * @param task - that lasts
+ * @param task - a lasting task
  * @param step - all tasks of its step
  * @param nowMs - monotonic
- * @returns whether so few others are away that its step's bound holds
+ * @returns whether few enough other tasks of the step are unavailable
  * @public
  */
 export function isDisruptionAllowed (task: Task, step: readonly Task[], nowMs: number): boolean {
@@ -36,10 +36,10 @@
 /**
  * Chooses the runs to stop now.
  *
- * @param runs - on the worker
- * @param sinceMs - monotonic, when emptying began
+ * @param runs - runs on the worker
+ * @param sinceMs - monotonic, when the drain began
  * @param nowMs - monotonic
- * @returns those to stop; lasting tasks one at a time within each step
+ * @returns the runs to stop; of lasting tasks one at a time per step
  * @public
  */
 export function planDrain (runs: readonly Run[], sinceMs: number, nowMs: number): Run[] {
@@ -51,12 +51,11 @@
 }
 
 /**
- * Chooses the runs to stop now on a worker that is about to end, at a time that nobody knows: those that last move, the others
- * may finish.
+ * Chooses the runs to stop now on a worker that will end at an unknown time: lasting tasks move away, others may finish.
  *
- * @param runs - on the worker
+ * @param runs - runs on the worker
  * @param nowMs - monotonic
- * @returns lasting tasks to stop, one at a time within each step
+ * @returns runs of lasting tasks to stop, one at a time per step
  * @public
  */
 export function planLeavingWorkerDrain (runs: readonly Run[], nowMs: number): Run[] {
--- a/packages/policy/src/lib/machines/planPools.ts
+++ b/packages/policy/src/lib/machines/planPools.ts
@@ -1,87 +1,87 @@
 /**
- * Decides which machines change their pool: towards services that have more work than room, and from those that have more room
- * than work to a pool whose machines are off.
+ * Decides which machines change their pool: to services that lack capacity, and from services with idle machines to a headroom pool, whose
+ * machines are off.
  *
  * @module
  */
 import type { ListedMachine } from '@quillscale/ports'
 
-/** What a service's scheduler says of its need. @public */
+/** Demand for machines as reported by the scheduler of a service. @public */
 export interface ServiceDemand {
   readonly service: string
-  /** Processor time, in thousandths of a core, of what runs and of what could start at once. */
+  /** CPU, in thousandths of a core, of the running tasks and those ready to start. */
   readonly wantedMillis: number
-  /** Fewest machines over which its lasting tasks are spread. */
+  /** Minimum number of machines over which its lasting tasks are spread. */
   readonly leastMachines: number
-  /** Runs on each of its machines that take work; lasting tasks weigh as {@link LASTING_RUN_WEIGHT}. */
+  /** Runs on each of its machines that accept work; a lasting run counts as {@link LASTING_RUN_WEIGHT}. */
   readonly runsByMachine: ReadonlyMap<string, number>
-  /** Processor time of one of its machines. */
+  /** Mean CPU of its machines, in thousandths of a core. */
   readonly machineMillis: number
 }
 
-/** A change of pool. @public */
+/** A planned move of a machine to another pool. @public */
 export interface PoolMove {
   readonly machineId: string
   readonly from: string
   readonly to: string
 }
 
-/** What the decision sees. @public */
+/** State from which pool moves are planned. @public */
 export interface PoolPlanningInput {
   readonly demands: readonly ServiceDemand[]
-  /** Pools whose machines are off. */
+  /** Pools whose machines are switched off. */
   readonly headroomPools: readonly string[]
   readonly machines: ReadonlyMap<string, ListedMachine>
-  /** Machines that are being emptied, moved or kept up; they count for the pool where they will be. */
+  /** Machines in drain, move or maintenance, by the pool where they will be; they count there. */
   readonly busy: ReadonlyMap<string, string>
-  /** Machines that are up in a service's pool and have been of no use to it for so long that they are not counted on. */
+  /** Machines that are up in a service's pool, but have not been usable for so long that they do not count. */
   readonly unusableMachines: ReadonlySet<string>
-  /** Pairs of machine and pool that the platform refused. */
+  /** Whether the platform refused to move the machine to the pool. */
   readonly isRefused: (machineId: string, pool: string) => boolean
-  /** Whether needs were watched for long enough to give room back. */
+  /** Whether needs were tracked for long enough to release machines. */
   readonly mayReleaseMachines: boolean
-  /** The most that a service needed lately: room is given back only after a while without need. */
+  /** Recent peak need of each service; machines are released only after a while without need. */
   readonly recentPeakNeed: ReadonlyMap<string, number>
-  /** So many changes may begin now. */
+  /** Most moves that may start now. */
   readonly maxMoves: number
-  /** What a growing service will need by the time a machine has moved. */
+  /** Predicted need of each service by the time a machine has moved. */
   readonly predictedNeed: ReadonlyMap<string, number>
 }
 
-/** A lasting task has to be moved, which its users notice; others only finish. @public */
+/** A lasting run must be moved, which its users notice; other runs just finish. @public */
 export const LASTING_RUN_WEIGHT = 10
 
-/** Room is added when more than this share of it is wanted: tasks do not fit without gaps. */
+/** Machines are added above this utilization, since tasks do not pack without gaps. */
 const MAX_UTILIZATION = 0.85
-/** A machine with more runs is not emptied for another service: what runs would take too long to leave. */
+/** A machine with more runs is not drained for another service, since that would take too long. */
 const MAX_RUNS_TO_DRAIN = 4
 
-/** @param demand - of a service @returns how many machines it needs now @public */
+/** @param demand - demand of a service @returns how many machines the service needs now @public */
 export function machinesNeeded (demand: ServiceDemand): number {
   return Math.max(demand.leastMachines, machinesForMillis(demand.wantedMillis, demand))
 }
 
-/** @param millis - processor time @param demand - of the service @returns how many of its machines carry that @public */
+/** @param millis - CPU in thousandths of a core @param demand - of the service @returns how many of its machines provide that @public */
 export function machinesForMillis (millis: number, { machineMillis }: ServiceDemand): number {
   return Math.ceil(millis / (Math.max(1, machineMillis) * MAX_UTILIZATION))
 }
 
-/** What a service needs of machines, and what it has. @public */
+/** Number of machines that a service needs and has. @public */
 export interface PoolCount {
   readonly demand: ServiceDemand
   readonly need: number
-  /** Not given back yet, since it was needed lately. */
+  /** Machines not to be released yet, since they were needed recently. */
   readonly retained: number
-  /** In its pool and not {@link PoolPlanningInput.unusableMachines}, or on their way there. */
+  /** Machines in its pool and not in {@link PoolPlanningInput.unusableMachines}, or on their way there. */
   have: number
 }
 
 /**
- * Plans changes of pools.
+ * Plans moves of machines between pools.
  *
- * @param input - what is known
- * @param counts - by {@link countPools}; those of planned moves are added
- * @returns the changes, those for want of room first
+ * @param input - current state
+ * @param counts - counts from {@link countPools}, updated for each planned move
+ * @returns the moves, those that add capacity first
  * @public
  */
 export function planPools (input: PoolPlanningInput, counts = countPools(input)): PoolMove[] {
@@ -98,7 +98,7 @@
   return moves
 }
 
-/** @param input - what is known @returns the services' needs and machines @public */
+/** @param input - current state @returns needed and present machines of each service @public */
 export function countPools (input: Pick<PoolPlanningInput, 'demands' | 'machines' | 'busy' | 'unusableMachines' | 'recentPeakNeed' | 'predictedNeed'>): PoolCount[] {
   return input.demands.map((demand): PoolCount => {
     const need = Math.max(machinesNeeded(demand), input.predictedNeed.get(demand.service) ?? 0)
@@ -123,14 +123,14 @@
   }
 }
 
-/** A parked machine first, then the least busy one of the service with the most to spare. */
+/** Prefers a headroom machine, then the least busy machine of the service with the largest surplus. */
 function findMachineFor (receiver: PoolCount, counts: readonly PoolCount[], input: PoolPlanningInput, taken: ReadonlySet<string>): PoolMove | undefined {
   const to = receiver.demand.service
   const isFree = (machine: ListedMachine): boolean =>
     machine.state === 'up' && !input.busy.has(machine.machineId) && !taken.has(machine.machineId) && !input.isRefused(machine.machineId, to)
   const parked = findHeadroomMachine(to, input, isFree)
   if (parked !== undefined) return parked
-  // What a service needed a moment ago is kept from being parked, not from one that needs it now.
+  // Recently needed machines are kept from being switched off, but not from a service that needs them now.
   const donors = counts.filter((count) => count !== receiver && count.have > count.need).sort((a, b) => (b.have - b.need) - (a.have - a.need))
   for (const { demand } of donors) {
     const machineId = findLeastBusyMachine(demand, input, isFree, MAX_RUNS_TO_DRAIN)
@@ -144,7 +144,7 @@
   return parked === undefined ? undefined : { machineId: parked.machineId, from: parked.pool, to }
 }
 
-/** The machine with the fewest runs, if it has no more than so many. */
+/** Finds the machine with the fewest runs, at most `maxRuns`. */
 function findLeastBusyMachine (
   demand: ServiceDemand, input: PoolPlanningInput, isFree: (machine: ListedMachine) => boolean, maxRuns: number
 ): string | undefined {
@@ -157,7 +157,7 @@
   return best
 }
 
-/** Idle machines beyond what a service needed lately go to a pool that is off. */
+/** Moves idle machines beyond the recent need of their service to a headroom pool. */
 function releaseIdleMachines (counts: readonly PoolCount[], input: PoolPlanningInput, taken: ReadonlySet<string>, most: number): PoolMove[] {
   const [pool] = input.headroomPools
   if (pool === undefined || !input.mayReleaseMachines) return []
--- a/packages/policy/src/lib/machines/planWave.ts
+++ b/packages/policy/src/lib/machines/planWave.ts
@@ -1,43 +1,43 @@
 /**
- * Decides which machines of a wave are taken up next.
+ * Decides which machines of a maintenance wave are drained next.
  *
  * @module
  */
 import type { ListedMachine } from '@quillscale/ports'
 
-/** What the decision sees. @public */
+/** State from which the next machines of a wave are chosen. @public */
 export interface WavePlanningInput {
-  /** Machines of the wave whose upkeep has not begun. */
+  /** Machines of the wave whose maintenance has not begun. */
   readonly pendingMachineIds: readonly string[]
   readonly machines: ReadonlyMap<string, ListedMachine>
-  /** Machines that are being emptied, moved or kept up, for whatever reason. */
+  /** Whether a machine is in drain, move or maintenance for any reason. */
   readonly isBusy: (machineId: string) => boolean
-  /** Machines of the wave that are being emptied or are down for it. */
+  /** Machines of the wave that are draining or down for it. */
   readonly inProgressMachineIds: readonly string[]
-  /** The most that may be down for it at once. */
+  /** Most machines that may be down for the wave at once. */
   readonly maxAtOnce: number
-  /** Pools in which nothing runs. */
+  /** Whether nothing runs in a pool. */
   readonly isHeadroomPool: (pool: string) => boolean
-  /** Runs on a machine, for an order that disturbs little. */
+  /** Number of runs on a machine, used to disturb few of them. */
   readonly countRuns: (machineId: string) => number
-  /** Machines of a pool, for its share that may be away. */
+  /** Number of machines of a pool, for the share that may be unavailable. */
   readonly poolSize: (pool: string) => number
-  /** Share of the wave's time that is left; below 0 it is late. */
+  /** Remaining share of the wave's time; negative after its deadline. */
   readonly remainingTimeShare: number
 }
 
-/** Share of a service's machines that are emptied or down at once; more when the wave may run late. */
+/** Share of a service's machines that may be draining or down at once; larger when the wave is late. */
 const MAX_UNAVAILABLE_SHARE = 0.13
 const MAX_UNAVAILABLE_SHARE_WHEN_LATE = 0.3
-/** Share of the time left, against the share of machines left, from which the wave counts as late. */
+/** The wave is late if its remaining share of time exceeds its remaining share of machines by less than this. */
 const LATE_MARGIN = 0.15
 
 /**
- * Chooses the machines to begin with now.
+ * Chooses the machines to start draining now.
  *
- * @param input - what is known
- * @param wholeSize - how many machines the wave has
- * @returns machines to be emptied and then ordered
+ * @param input - current state
+ * @param wholeSize - number of machines of the wave
+ * @returns machines to drain and then order for maintenance
  * @public
  */
 export function planWave (input: WavePlanningInput, wholeSize: number): string[] {
@@ -48,7 +48,7 @@
   const chosen: string[] = []
   const candidates = input.pendingMachineIds.filter((machineId) => input.machines.get(machineId)?.state === 'up' && !input.isBusy(machineId))
   for (const machineId of [...candidates].sort((a, b) => weight(a, input) - weight(b, input))) {
-    // One more than may be down is emptied ahead, so that it can follow at once.
+    // Draining and down machines together count against the limit.
     if (input.inProgressMachineIds.length + chosen.length >= input.maxAtOnce) break
     const pool = input.machines.get(machineId)?.pool ?? ''
     const limit = Math.max(1, Math.floor(input.poolSize(pool) * (isLate ? MAX_UNAVAILABLE_SHARE_WHEN_LATE : MAX_UNAVAILABLE_SHARE)))
@@ -63,7 +63,7 @@
   if (pool !== undefined) away.set(pool, (away.get(pool) ?? 0) + 1)
 }
 
-/** Where nothing runs first. */
+/** Sort key of a machine: headroom pools first, then the fewest runs. */
 function weight (machineId: string, input: WavePlanningInput): number {
   return input.isHeadroomPool(input.machines.get(machineId)?.pool ?? '') ? -1 : input.countRuns(machineId)
 }
--- a/packages/policy/src/lib/placement/PlacementRound.ts
+++ b/packages/policy/src/lib/placement/PlacementRound.ts
@@ -1,5 +1,5 @@
 /**
- * One round of placing: gathers what waits and who has room, decides, and makes the runs.
+ * One placement round: collects waiting steps and available workers, places tasks, and creates their runs.
  *
  * @module
  */
@@ -14,69 +14,69 @@
 import type { RunTimeEstimator } from '../jobs/RunTimeEstimator.js'
 import type { WorkerView } from './WorkerView.js'
 
-/** Advice on steps whose queue wants it. @public */
+/** Provides advice for steps whose queue requires it. @public */
 export interface TicketSource {
   /**
-   * Gives the workers that may run a step.
+   * Returns tickets for the workers that may run a step.
    *
-   * @param task - of the step
-   * @param instanceIds - workers that could run it, the best first
+   * @param task - a task of the step
+   * @param instanceIds - candidate workers, the best first
    * @param nowMs - monotonic
-   * @returns the ticket for each, `undefined` until there is advice
+   * @returns the ticket of each permitted worker, `undefined` until there is advice
    */
   ticketsFor (task: Task, instanceIds: readonly string[], nowMs: number): ReadonlyMap<string, string> | undefined
 }
 
-/** What a round sees. @public */
+/** State from which a round places tasks. @public */
 export interface PlacementRoundOptions {
   readonly configuration: FleetConfiguration
   readonly jobs: readonly Job[]
   readonly workerViews: readonly WorkerView[]
   readonly runTimes: RunTimeEstimator
   readonly advice: TicketSource
-  /** What each account may have running here. */
+  /** Looks up the quota of an account in this service. */
   readonly accountQuotaOf: AccountQuotaLookup
-  /** Machines that are being emptied. */
+  /** Tells which machines are being drained. */
   readonly vacating: { isVacating (machineId: string): boolean }
   /** Monotonic. */
   readonly nowMs: number
   readonly wallMs: number
 }
 
-/** A lasting task that waited so long for room displaces others: its users are served by nobody meanwhile. */
+/** A lasting task that waited this long preempts other runs, since nothing serves its users meanwhile. */
 const PREEMPT_AFTER_MS = 700
-/** A run of which nothing was heard for so long gets a copy; workers are asked at least each second. */
+/** A run without progress on an unresponsive worker gets a copy after this time; workers are polled at least every second. */
 const COPY_AFTER_SILENCE_MS = 2500
-/** A run that takes so many times as long as others of its image gets a copy: tasks of an image differ by less. */
+/** A run gets a copy at this multiple of the run time of its image; tasks of one image vary by less. */
 const STRAGGLER_FACTOR = 2.5
-/** A run whose progress stood still so long is stopped and placed elsewhere. */
+/** A run without progress for this long is stopped and placed elsewhere. */
 const STALL_TIMEOUT_MS = 3000
 
 interface WaitingStep { readonly tasks: readonly Task[], readonly rank: StepRank, readonly queue: QueueConfiguration | undefined }
 
-/** The round. @public */
+/** Places the waiting tasks of a service once. @public */
 export class PlacementRound {
-  /** Runs to be stopped, found while placing. */
+  /** Stalled and preempted runs to stop, filled by {@link place}. */
   readonly runsToStop: Run[] = []
-  /** Tasks that end the workers which start them, found while placing. */
+  /** Tasks that crash their workers and are to be given up, filled by {@link place}. */
   readonly tasksToGiveUp: Task[] = []
-  /** What accounts' grants had room for, and what waits for one. */
+  /** Quota admission of this round, with the shortages that it found. */
   readonly quota: QuotaAdmission
   readonly #options: PlacementRoundOptions
   readonly #queues: ReadonlyMap<string, QueueConfiguration>
 
-  /** @param options - what it sees */
+  /** @param options - state of the service */
   constructor (options: PlacementRoundOptions) {
     this.#options = options
     this.quota = new QuotaAdmission(options.accountQuotaOf)
     this.#queues = new Map(options.configuration.queues.map((queue) => [queue.name, queue]))
   }
 
-  /** @returns new runs in phase `recording`, entered at their tasks */
+  /** Places waiting tasks. @returns new runs in phase `recording`, already added to their tasks */
   place (): Run[] {
     const rooms = this.#availableRooms()
     const waiting = this.#listWaitingSteps()
-    // What is placed of a job that ends in this round would be forgotten by its job, and go on taking up room.
+    // Runs placed for a job that ends in this round would be lost from its state, yet keep occupying workers.
     const givenUp = new Set(this.tasksToGiveUp.map(({ job }) => job))
     const placeable = waiting.filter(({ tasks: [first] }) => first !== undefined && !givenUp.has(first.job))
     const groups = placeable.map((step) => this.#groupOf(step, rooms)).filter((group) => group !== undefined)
@@ -102,20 +102,20 @@
     return waiting.sort((a, b) => compareRanks(a.rank, b.rank))
   }
 
-  /** Members of a gang are placed only together, so none may still be running. */
+  /** Selects the placeable tasks of a step. Members of a gang are placed only together, so none may still have a run. */
   #selectPlaceable (step: readonly Task[]): readonly Task[] {
     const first = step[0]
     if (first !== undefined && stepOf(first).isGang && step.some(({ runs }) => runs.length > 0)) return []
     const open = step.filter((task) => !task.isDone && (task.runs.length === 0 || this.#needsSpeculativeCopy(task)))
-    const verdicts = open.map((task) => decidePlacement(task, this.#options.nowMs))
-    this.tasksToGiveUp.push(...open.filter((_, at) => verdicts[at] === 'give-up'))
-    if (first !== undefined && stepOf(first).isGang && verdicts.some((verdict) => verdict !== 'place')) return []
-    // Others of the job that may do the same wait with it: it may be over for all of them.
-    const isJudged = verdicts.includes('wait')
-    return open.filter((task, at) => verdicts[at] === 'place' && !(isJudged && isCrashSuspect(task)))
+    const decisions = open.map((task) => decidePlacement(task, this.#options.nowMs))
+    this.tasksToGiveUp.push(...open.filter((_, at) => decisions[at] === 'give-up'))
+    if (first !== undefined && stepOf(first).isGang && decisions.some((decision) => decision !== 'place')) return []
+    // Other suspect tasks of the step wait too, since the whole job may be given up.
+    const isWaiting = decisions.includes('wait')
+    return open.filter((task, at) => decisions[at] === 'place' && !(isWaiting && isCrashSuspect(task)))
   }
 
-  /** Where copies may run side by side, a run that is likely lost or far behind gets one at once, not only when its lease is over. */
+  /** A run that is likely lost or a straggler gets a copy at once, before its lease expires, if its step allows copies. */
   #needsSpeculativeCopy (task: Task): boolean {
     const [run, ...copies] = task.runs
     const step = stepOf(task)
@@ -123,7 +123,7 @@
     if (run.phase === 'stopping') return false
     const { nowMs, workerViews, runTimes } = this.#options
     const workerView = workerViews.find(({ instance }) => instance.instanceId === run.instanceId)
-    // A new holder has heard nothing yet: its workers are given the time to answer.
+    // A new holder has no answers yet, so its workers get time to respond.
     const isSilent = workerView?.isAnswering(nowMs) !== true && run.phase !== 'recording' && nowMs - run.progressMs > COPY_AFTER_SILENCE_MS
     const isBehind = run.startedMs !== undefined && runTimes.hasSamples(step) && nowMs - run.startedMs > runTimes.expectedMs(step) * STRAGGLER_FACTOR
     if (isSilent || isBehind) task.avoidedInstances.add(run.instanceId)
@@ -150,7 +150,7 @@
       nowMs >= workerView.refusingUntilMs && !workerView.health.isQuarantined(nowMs) && !vacating.isVacating(workerView.instance.machineId)
   }
 
-  /** Stops runs that do not last, the least advanced first, until a lasting task fits beside the rest. */
+  /** Stops runs of other than lasting tasks, those with the least progress first, until a waiting lasting task fits. */
   #preemptForLastingTask (groups: readonly PlacementGroup[], placements: readonly Placement[]): void {
     const placed = new Set(placements.map(({ task }) => task))
     for (const { tasks } of groups) {
--- a/packages/policy/src/lib/placement/WorkerHealth.ts
+++ b/packages/policy/src/lib/placement/WorkerHealth.ts
@@ -1,22 +1,22 @@
 /**
- * Judges a worker by how the runs on it end, so that one that fails or stalls everything gets no more work for a while.
+ * Tracks how runs on a worker end, and quarantines a worker that fails or stalls its runs.
  *
  * @module
  */
 
-/** Different jobs that must fail on it in a row: a single bad job fails on every worker. */
+/** Number of distinct jobs that must fail in a row, since a single bad job fails on every worker. */
 const MIN_FAILED_JOBS = 2
-/** First time apart; twice as long each further time. Workers that fail what they start do so for 5 to 8 seconds. */
+/** First quarantine; doubles each time. Faulty workers fail their runs for 5 to 8 seconds. */
 const FIRST_QUARANTINE_MS = 2000
 const MAX_QUARANTINE_MS = 8000
 
-/** One worker's record. @public */
+/** Health of one worker. @public */
 export class WorkerHealth {
   readonly #failedJobs = new Set<string>()
   #quarantinedUntilMs = -Infinity
   #nextQuarantineMs = FIRST_QUARANTINE_MS
 
-  /** A run ended `done` there. */
+  /** Records a run that ended `done`, and lifts the quarantine. */
   succeeded (): void {
     this.#failedJobs.clear()
     this.#nextQuarantineMs = FIRST_QUARANTINE_MS
@@ -24,12 +24,12 @@
   }
 
   /**
-   * A run failed there.
+   * Records a failed run.
    *
-   * @param jobId - whose
-   * @param failedElsewhere - the job has failed on other workers too, so that it says little about this one
+   * @param jobId - job of the run
+   * @param failedElsewhere - whether the job failed on other workers too, and thus says little about this one
    * @param nowMs - monotonic
-   * @returns whether the worker is set apart by it
+   * @returns whether the worker is now quarantined
    */
   failed (jobId: string, failedElsewhere: boolean, nowMs: number): boolean {
     if (failedElsewhere) return false
@@ -39,14 +39,14 @@
     return true
   }
 
-  /** @param nowMs - monotonic; no work for a while from now on */
+  /** Starts a quarantine. @param nowMs - monotonic */
   quarantine (nowMs: number): void {
     this.#failedJobs.clear()
     this.#quarantinedUntilMs = nowMs + this.#nextQuarantineMs
     this.#nextQuarantineMs = Math.min(MAX_QUARANTINE_MS, this.#nextQuarantineMs * 2)
   }
 
-  /** @param nowMs - monotonic @returns whether it gets no work */
+  /** @param nowMs - monotonic @returns whether the worker is quarantined and gets no work */
   isQuarantined (nowMs: number): boolean {
     return nowMs < this.#quarantinedUntilMs
   }
--- a/packages/policy/src/lib/placement/WorkerRoom.ts
+++ b/packages/policy/src/lib/placement/WorkerRoom.ts
@@ -1,40 +1,40 @@
 /**
- * What placing decides about: workers with the room that is left on them, and steps whose tasks wait.
+ * Inputs of placement: workers with their remaining capacity, and steps with waiting tasks.
  *
  * @module
  */
 import type { WorkerCapacity } from '@quillscale/ports'
 import type { Job, Task } from '../jobs/JobState.js'
 
-/** A worker as the decision sees it; the room is used up as tasks are placed. @public */
+/** A worker with its remaining capacity, which shrinks as tasks are placed. @public */
 export interface WorkerRoom {
   readonly instanceId: string
   readonly labels: readonly string[]
   readonly capacity: WorkerCapacity
-  /** What is left of the capacity. */
+  /** Remaining capacity. */
   cpuMillis: number
   memoryMb: number
   gpus: number
-  /** Lasting tasks there that must answer in time. */
+  /** Lasting tasks on the worker with a latency target. */
   latencySensitiveTasks: number
   fillers: number
-  /** Runs of each step there, by {@link Task.stepKey}. */
+  /** Number of runs of each step on the worker, by {@link Task.stepKey}. */
   readonly runsByStep: Map<string, number>
-  /** Runs of each job there. */
+  /** Number of runs of each job on the worker. */
   readonly runsByJob: Map<Job, number>
-  /** Runs of tasks that last. */
+  /** Number of runs of lasting tasks. */
   lastingRuns: number
-  /** The job that this worker is left to, since a task of it may end the worker. */
+  /** Job for which this worker is reserved, since one of its tasks may crash the worker. */
   reservedFor: Job | undefined
 }
 
-/** Tasks of one step whose turn has come, in the order of their importance. @public */
+/** Waiting tasks of one ready step. @public */
 export interface PlacementGroup {
   readonly tasks: readonly Task[]
-  /** With advice: the workers that may run it, with the ticket for each; without, every worker may. */
+  /** Tickets of the workers that may run the step; `undefined` if every worker may. */
   readonly tickets?: ReadonlyMap<string, string> | undefined
-  /** Whether room is kept for it on a worker when it does not fit anywhere. */
+  /** Whether capacity is reserved on a worker if a task does not fit anywhere. */
   readonly mayReserve: boolean
-  /** Whether tasks that may end their worker have waited long enough for one without other jobs. */
+  /** Whether suspect tasks have waited long enough to share a worker with other jobs. */
   readonly mayShareWorker?: boolean
 }
--- a/packages/policy/src/lib/placement/WorkerView.ts
+++ b/packages/policy/src/lib/placement/WorkerView.ts
@@ -1,5 +1,5 @@
 /**
- * A worker as decisions see it.
+ * Read-only state of a worker, as needed for scheduling decisions.
  *
  * @module
  */
@@ -7,21 +7,21 @@
 import type { Run } from '../jobs/JobState.js'
 import type { WorkerHealth } from './WorkerHealth.js'
 
-/** The view. @public */
+/** Read-only state of a worker. @public */
 export interface WorkerView {
-  /** As last registered. */
+  /** Instance as last registered. */
   readonly instance: WorkerInstance
-  /** Whether it is registered now and says that it takes new work. */
+  /** Whether it is registered and accepts new work. */
   readonly takesWork: boolean
-  /** Runs placed there that are not known to be over. */
+  /** Runs placed on it that are not known to have ended. */
   readonly runs: ReadonlyMap<string, Run>
-  /** Whether its clock was read: without that no lease can be given. */
+  /** Whether its clock has been read, which leases require. */
   readonly clock: { readonly isKnown: boolean }
   readonly health: WorkerHealth
-  /** Monotonic; it refused work and is left alone until then. */
+  /** Monotonic; it refused work and gets none until then. */
   readonly refusingUntilMs: number
-  /** Whether it must not be given any lease. */
+  /** Whether it is recorded as silent and must not get a lease. */
   readonly isNotedSilent: boolean
-  /** @param nowMs - monotonic @returns whether it has answered lately */
+  /** @param nowMs - monotonic @returns whether it has answered recently */
   isAnswering (nowMs: number): boolean
 }
--- a/packages/policy/src/lib/placement/isolation.ts
+++ b/packages/policy/src/lib/placement/isolation.ts
@@ -1,9 +1,9 @@
 /**
- * Keeps tasks that may end their worker apart from other jobs, and other jobs from them.
+ * Isolates tasks that may crash their worker from other jobs.
  *
- * What it buys: one such task ends what else runs on its first worker, up to 18 runs on the smallest machines, and then nothing but its
- * own job; and the second crash tells whose fault it was. What it costs: an innocent job that was on a worker which crashed waits for an
- * empty worker, {@link ISOLATION_WAIT_MS} at most, and leaves the rest of that worker unused while its tasks are fresh.
+ * Without isolation, each crash ends all runs on the worker, up to 18 on the smallest machines. With it, only the first crash affects other jobs,
+ * and the second identifies the culprit. The cost: an innocent job whose worker crashed waits for an empty worker, at most
+ * {@link ISOLATION_WAIT_MS}, and leaves the rest of that worker unused until its tasks have survived their start.
  *
  * @module
  */
@@ -11,31 +11,31 @@
 import { stepOf, type Job, type Task } from '../jobs/JobState.js'
 import type { PlacementGroup, WorkerRoom } from './WorkerRoom.js'
 
-/** Most workers are empty of what does not last within a second or two; the users allow a task 3 s until it runs, where there is room. */
+/** Most workers finish their short tasks within 1 to 2 s; users allow 3 s until a task runs if there is capacity. */
 export const ISOLATION_WAIT_MS = 1500
-/** Share of the workers that are left to suspected jobs at most; at least one is. */
+/** Largest share of workers reserved for suspect jobs; at least one may be. */
 const MAX_RESERVED_SHARE = 0.5
-/** Tasks that last do not make room by themselves. */
+/** Cost of a lasting run, which does not end by itself. */
 const LASTING_RUN_COST = 100
 
-/** @param room - of a worker @param job - any @returns how many runs of other jobs are there */
+/** @param room - a worker @param job - a job @returns the number of runs of other jobs on the worker */
 export function countRunsOfOtherJobs (room: WorkerRoom, job: Job): number {
   let count = 0
   for (const [other, runs] of room.runsByJob) if (other !== job) count += runs
   return count
 }
 
-/** @param task - to be placed @param group - its step @param room - of a worker @returns whether no crash there would end runs of others */
+/** @param task - task to place @param group - its step @param room - a worker @returns whether isolation permits the placement */
 export function allowsIsolation (task: Task, group: PlacementGroup, room: WorkerRoom): boolean {
   if (room.reservedFor !== undefined && room.reservedFor !== task.job) return false
   return !isCrashSuspect(task) || group.mayShareWorker === true || countRunsOfOtherJobs(room, task.job) === 0
 }
 
 /**
- * Chooses for each suspected job that waits a worker which gets nothing else, the emptiest.
+ * Reserves the emptiest worker for each waiting suspect job.
  *
- * @param groups - that wait
- * @param rooms - of the workers
+ * @param groups - waiting steps
+ * @param rooms - available workers
  */
 export function reserveForSuspects (groups: readonly PlacementGroup[], rooms: readonly WorkerRoom[]): void {
   const jobs = new Set(groups.flatMap(({ tasks }) => tasks.filter(isCrashSuspect).map(({ job }) => job)))
@@ -55,13 +55,13 @@
   return countRunsOfOtherJobs(room, job) + LASTING_RUN_COST * room.lastingRuns
 }
 
-/** @param tasks - of one step @returns the suspected ones first: others that find no room end the step's turn */
+/** @param tasks - tasks of one step @returns suspect tasks first, since placement of the step ends at the first other task that does not fit */
 export function orderSuspectsFirst (tasks: readonly Task[]): readonly Task[] {
   if (!tasks.some(isCrashSuspect)) return tasks
   return [...tasks.filter(isCrashSuspect), ...tasks.filter((task) => !isCrashSuspect(task))]
 }
 
-/** Counts a run for or against the worker's isolation. @param room - its worker's @param task - whose run @param sign - placed, or taken back */
+/** Updates the run counts of a worker. @param room - the worker @param task - task of the run @param sign - 1 to add, -1 to remove */
 export function adjustRunCounts (room: WorkerRoom, task: Task, sign: 1 | -1): void {
   const runs = (room.runsByJob.get(task.job) ?? 0) + sign
   if (runs > 0) room.runsByJob.set(task.job, runs)
--- a/packages/policy/src/lib/placement/placeTasks.ts
+++ b/packages/policy/src/lib/placement/placeTasks.ts
@@ -10,29 +10,29 @@
 import type { PlacementGroup, WorkerRoom } from './WorkerRoom.js'
 import { adjustRunCounts, allowsIsolation, reserveForSuspects, countRunsOfOtherJobs, orderSuspectsFirst } from './isolation.js'
 
-/** A placement. @public */
+/** Assignment of a task to a worker. @public */
 export interface Placement {
   readonly task: Task
   readonly instanceId: string
   readonly ticket?: string | undefined
 }
 
-/** @param step - any @returns the processor time that it takes of a worker's room @public */
+/** @param step - a step @returns the CPU that a task of it takes from a worker's capacity; none for fillers @public */
 export const cpuDemandOf = (step: StepSpec): number => step.isFiller ? 0 : step.cpuMillis
 
 /**
- * Places tasks, the most important first, each on the worker that suits it best.
+ * Places tasks in order of importance, each on the worker with the highest score.
  *
  * @param groups - steps with waiting tasks, the most important first
- * @param rooms - the workers that take work; their room is used up
- * @param quota - what each account may start; used up, too
- * @returns what to start where; tasks without a suitable worker are left out
+ * @param rooms - available workers; their remaining capacity is reduced
+ * @param quota - remaining quota of the accounts; reduced, too
+ * @returns the placements; tasks without a suitable worker are left out
  * @public
  */
 export function placeTasks (groups: readonly PlacementGroup[], rooms: readonly WorkerRoom[], quota: QuotaAdmission): Placement[] {
   const placements: Placement[] = []
   reserveForSuspects(groups.filter(({ tasks }) => quota.hasQuotaFor(tasks)), rooms)
-  // Rooms only shrink: once no worker has so much processor time left, later tasks that want as much need not look.
+  // Capacity only shrinks: once no worker has this much CPU left, later tasks that need as much are skipped.
   let leastRefusedMillis = Infinity
   for (const group of groups) {
     const first = group.tasks[0]
@@ -61,14 +61,14 @@
       continue
     }
     if (isCrashSuspect(task)) continue
-    // The others of the step want the same.
+    // The other tasks of the step need the same resources.
     if (!group.mayReserve) break
     reserveLargestRoom(task, group, rooms)
   }
   return placements
 }
 
-/** All members at once or none: a member that waits for the others holds room for nothing. */
+/** Places all members or none, since a member that waits for the others would waste its capacity. */
 function placeGang (group: PlacementGroup, rooms: readonly WorkerRoom[]): Placement[] {
   const racks = new Set(rooms.map(({ labels }) => labels.at(-1)))
   const first = group.tasks[0] as Task
@@ -97,9 +97,9 @@
 }
 
 /**
- * Higher is better. Where it would end the fewest other runs, not where it failed before, near its data, away from what it would disturb,
- * lasting tasks of a step apart;
- * then the fullest, so that machines without work can be given to others.
+ * Scores a worker for a task; higher is better. Prefers, in this order, workers where a crash would end the fewest other runs, where the task has
+ * not failed, near its data, with the least interference, with few lasting tasks of the same step, and the fullest, so that idle machines can
+ * be released.
  */
 function placementScore (task: Task, step: StepSpec, room: WorkerRoom): number {
   const isNear = step.preferredRack === '' || room.labels.includes(step.preferredRack)
@@ -112,7 +112,7 @@
   return (isNear ? LOCALITY_WEIGHT : 0) + used - against
 }
 
-/** Weights order the wishes: each is larger than all that stand below it together (free room adds at most 2). */
+/** Each weight exceeds the sum of all lower criteria (utilization adds at most 2). */
 const LOCALITY_WEIGHT = 1000
 const AVOIDED_WORKER_WEIGHT = 10_000
 const ENDANGERED_RUN_WEIGHT = 20_000
@@ -131,12 +131,12 @@
   return best
 }
 
-/** Keeps the room of the suitable worker that has most of it, so that less important tasks do not take it piece by piece. */
+/** Reserves capacity on the suitable worker that has the most left, so that less important tasks do not use it up piecemeal. */
 function reserveLargestRoom (task: Task, group: PlacementGroup, rooms: readonly WorkerRoom[]): void {
   const step = stepOf(task)
   const suitable = rooms.filter((room) => isSuitable(task, step, group, room) && room.capacity.cpuMillis >= step.cpuMillis)
-  const fullest = suitable.reduce<WorkerRoom | undefined>((best, room) => best === undefined || room.cpuMillis > best.cpuMillis ? room : best, undefined)
-  if (fullest !== undefined) adjustRoom(fullest, task, 1)
+  const largest = suitable.reduce<WorkerRoom | undefined>((best, room) => best === undefined || room.cpuMillis > best.cpuMillis ? room : best, undefined)
+  if (largest !== undefined) adjustRoom(largest, task, 1)
 }
 
 function adjustRoom (room: WorkerRoom, task: Task, sign: 1 | -1): void {
@@ -151,7 +151,7 @@
   adjustRunCounts(room, task, sign)
 }
 
-/** Counts a run that is there already. @param room - its worker's @param task - whose run @public */
+/** Deducts an existing run from the capacity of its worker. @param room - the worker @param task - task of the run @public */
 export function occupy (room: WorkerRoom, task: Task): void {
   adjustRoom(room, task, 1)
 }
--- a/packages/policy/src/lib/placement/planPaces.ts
+++ b/packages/policy/src/lib/placement/planPaces.ts
@@ -1,30 +1,30 @@
 /**
- * Decides how fast tasks that fill may work beside those that serve.
+ * Throttles filler tasks beside latency-sensitive tasks.
  *
  * @module
  */
 import { stepOf, type Run } from '../jobs/JobState.js'
 
-/** Above this share of its target a serving task's tail is too near; below the lower one there is room. Between, nothing changes. */
+/** Fillers slow down above the first share of a latency target and speed up below the second; between them nothing changes. */
 const THROTTLE_ABOVE_SHARE = 0.85
 const RAISE_BELOW_SHARE = 0.6
-/** Fillers are cut to this share at once and come back in steps, as congestion controls do. */
+/** Multiplicative decrease and additive increase, as in congestion control. */
 const CUT_FACTOR = 0.5
 const RAISE_PERCENT = 10
-/** Below this they are stopped from working altogether: what is left would not be worth the disturbance. */
+/** Fillers are paused below this pace, where their progress is not worth the interference. */
 const MIN_PERCENT = 10
 
-/** A change of pace. @public */
+/** A new pace for a filler run. @public */
 export interface PaceChange {
   readonly run: Run
   readonly percent: number
 }
 
 /**
- * Chooses the paces on one worker.
+ * Chooses the paces of the filler runs on one worker.
  *
- * @param runs - on it, with their last reported loads
- * @returns the changes
+ * @param runs - runs on the worker, with their last reported loads
+ * @returns the paces that change
  * @public
  */
 export function planPaces (runs: readonly Run[]): PaceChange[] {
--- a/packages/policy/src/lib/placement/stillFits.ts
+++ b/packages/policy/src/lib/placement/stillFits.ts
@@ -1,5 +1,5 @@
 /**
- * Tells whether a run that was placed a while ago may still be started: its worker may have shrunk since.
+ * Checks whether a placed run still fits its worker, whose capacity may have shrunk since.
  *
  * @module
  */
@@ -8,12 +8,12 @@
 import type { WorkerView } from './WorkerView.js'
 
 /**
- * A placement waits for the store, 10 ms as a rule and seconds at times. Workers that do not refuse what is too much would be overloaded by
- * a start that comes after they have said how much less they have now.
+ * Checks whether a placed run still fits. A placement waits for the store, usually 10 ms and sometimes seconds. Workers that do not refuse excess
+ * load would be overloaded by a start after they reported less capacity.
  *
  * @param workerView - the worker as it describes itself now
- * @param run - placed there, in phase `recording`
- * @returns whether it fits beside all that was ordered there, runs that are being stopped among it
+ * @param run - a run placed on it, in phase `recording`
+ * @returns whether it fits beside all runs already requested there, including those being stopped
  * @public
  */
 export function stillFits (workerView: WorkerView, run: Run): boolean {
--- a/packages/policy/src/lib/quotas/AccountTokenBuckets.ts
+++ b/packages/policy/src/lib/quotas/AccountTokenBuckets.ts
@@ -1,30 +1,30 @@
 /**
- * Tells which jobs an account sends beyond its share, in the order in which they came.
+ * Detects jobs beyond the share of their account, by a token bucket per account.
  *
- * What it answers: one account floods a queue with many times its usual. Without a measure its jobs take the room of everybody's; with it they
- * go after all that others are owed, and still run where there is room.
+ * Guards against one account that floods a queue with many times its usual load and crowds out the others. Its jobs beyond the share rank
+ * after those within other accounts' shares, and still run on spare capacity.
  *
  * @module
  */
 import type { AccountName } from '@quillscale/ports'
 
-/** An account may send its share of so long at once: clients are not even within a second. */
+/** Burst size, in seconds of the share: clients do not submit evenly within a second. */
 const BURST_S = 1
 const MS_PER_S = 1000
 
 interface TokenBucket { jobs: number, atMs: number }
 
-/** The meter. @public */
+/** Keeps a token bucket for each account. @public */
 export class AccountTokenBuckets {
   readonly #buckets = new Map<AccountName, TokenBucket>()
 
   /**
-   * Counts a job.
+   * Takes a token for a job.
    *
-   * @param account - that sent it
-   * @param weight - jobs a second that are the account's share
-   * @param atMs - time of day when it was accepted; a job that was accepted before one that is counted already is taken for as late
-   * @returns whether it is beyond the share
+   * @param account - the job's account
+   * @param weight - share of the account, in jobs per second
+   * @param atMs - wall-clock time of acceptance; a time before the latest one of the account counts as that one
+   * @returns whether the job is beyond the share
    */
   isOverShare (account: AccountName, weight: number, atMs: number): boolean {
     const most = Math.max(1, weight * BURST_S)
--- a/packages/policy/src/lib/quotas/QuotaAdmission.ts
+++ b/packages/policy/src/lib/quotas/QuotaAdmission.ts
@@ -1,7 +1,7 @@
 /**
- * What each account may still start in one round of placing, and what had to wait for it.
+ * Admits tasks within the quotas of their accounts during one placement round, and records what has to wait.
  *
- * A task that its account's grant has no room for takes part in nothing else of the round: it neither holds room on workers nor displaces.
+ * A task without quota takes no further part in the round: it neither reserves capacity on workers nor preempts other runs.
  *
  * @module
  */
@@ -9,44 +9,44 @@
 import { stepOf, type Task } from '../jobs/JobState.js'
 import { fitsWithin, minus, NO_RESOURCES, plus, type Resources, resourcesOf, times } from './resources.js'
 
-/** What an account may have running in this service. @public */
+/** Quota of an account in this service. @public */
 export interface AccountQuota {
-  /** All that runs or may run of it here. */
+  /** Resources of all runs of the account here, including those that may still be running. */
   readonly used: Resources
   /** Tasks start only while `used` stays within this. */
   readonly usable: Resources
-  /** Of the account, infinite where there is none: what exceeds it alone can never run. */
+  /** Limit of the account, infinite if there is none; a task that alone exceeds it can never run. */
   readonly limit: Resources
 }
 
-/** What waits for a grant. @public */
+/** Resources that an account lacks. @public */
 export interface QuotaShortage {
-  /** Of all that waits. */
+  /** Demand of all waiting tasks. */
   readonly wanted: Resources
-  /** Of the most important task or gang. */
+  /** Demand of the most important task or gang. */
   readonly first: Resources
 }
 
-/** Accounts without a limit have no room: `undefined`. @public */
+/** Returns the quota of an account, `undefined` if it has no limit. @public */
 export type AccountQuotaLookup = (account: AccountName) => AccountQuota | undefined
 
-/** The round. @public */
+/** Tracks the quota that is left to each account in a placement round. @public */
 export class QuotaAdmission {
-  /** Accounts of which something waits for a grant. */
+  /** Shortages of the accounts whose tasks wait for a grant. */
   readonly shortages = new Map<AccountName, QuotaShortage>()
   /** Tasks that wait for a grant. */
   readonly held = new Set<Task>()
-  /** Of {@link held}, the first of each step that can never run as its account's limit is. */
+  /** The first task of each step in {@link held} that exceeds its account's limit and can never run. */
   readonly oversized: Task[] = []
   readonly #roomOf: AccountQuotaLookup
   readonly #left = new Map<AccountName, Resources>()
 
-  /** @param roomOf - what each account may have */
+  /** @param roomOf - looks up the quota of an account */
   constructor (roomOf: AccountQuotaLookup) {
     this.#roomOf = roomOf
   }
 
-  /** @param tasks - of one step @returns whether at least one of them, or the whole gang, may start now */
+  /** @param tasks - tasks of one step @returns whether the quota allows at least one of them, or the whole gang, to start */
   hasQuotaFor (tasks: readonly Task[]): boolean {
     const first = tasks[0]
     const room = first === undefined ? undefined : this.#roomFor(first)
@@ -54,10 +54,10 @@
   }
 
   /**
-   * Finds which tasks of a step their account has room for; the others are noted as waiting for it.
+   * Selects the tasks of a step that fit the quota, and records the others as waiting.
    *
-   * @param tasks - of one step, all members of a gang
-   * @returns the first of them that fit; of a gang all or none
+   * @param tasks - tasks of one step; of a gang all members
+   * @returns the first tasks that fit; of a gang all or none
    */
   admit (tasks: readonly Task[]): readonly Task[] {
     const first = tasks[0]
@@ -75,7 +75,7 @@
     return tasks.slice(0, count)
   }
 
-  /** Takes what was placed off its account's room. @param task - that was placed */
+  /** Deducts a task from its account's remaining quota. @param task - a placed task */
   consume (task: Task): void {
     const room = this.#roomFor(task)
     if (room !== undefined) this.#left.set(room.account, minus(room.left, resourcesOf(stepOf(task))))
@@ -100,12 +100,12 @@
 
 interface QuotaLeft { readonly account: AccountName, readonly limit: Resources, readonly left: Resources }
 
-/** Members of a gang start together or not at all. */
+/** Resources of the smallest unit that can start: a task, or a whole gang. */
 function admissionUnitOf (first: Task, taskCount: number): Resources {
   return stepOf(first).isGang ? times(resourcesOf(stepOf(first)), taskCount) : resourcesOf(stepOf(first))
 }
 
-/** How many tasks of a size fit, at most so many. */
+/** Counts how many tasks of equal size fit. */
 function countFitting (each: Resources, left: Resources, mostTasks: number): number {
   let count = 0
   while (count < mostTasks && fitsWithin(times(each, count + 1), left)) count++
--- a/packages/policy/src/lib/quotas/planGrant.ts
+++ b/packages/policy/src/lib/quotas/planGrant.ts
@@ -1,59 +1,59 @@
 /**
  * Divides an account's limit among the services that run its jobs.
  *
- * Each service holds a grant and starts tasks only within it; the grants together never exceed the limit. So a service needs to hear
- * of nobody to start a task, and none starts more than the account may have, whoever is cut off. A grant grows with what its service wants
- * and is given up as soon as another wants more than it has.
+ * Each service holds a grant and starts tasks only within it; the sum of the grants never exceeds the limit. A service can thus start tasks
+ * without coordination, and the account's limit holds even under network partitions. A grant grows with the demand of its service, and its unused
+ * part is given up as soon as another service wants more than it has.
  *
  * @module
  */
 import { fitsWithin, least, mapResources, minus, most, NO_RESOURCES, plus, RESOURCE_KINDS, type Resources, times } from './resources.js'
 
-/** What a service has of an account's limit, and wants of it. @public */
+/** Grant and demand of a service within an account's limit. @public */
 export interface QuotaClaim {
   readonly service: string
-  /** It starts tasks only as long as all that it runs stays within this. */
+  /** The service starts tasks only while all its runs stay within this. */
   readonly granted: Resources
-  /** What runs, and what waits for want of a grant. */
+  /** Resources of its runs and of the tasks that wait for a grant. */
   readonly wanted: Resources
-  /** Without so much it runs nothing at all; nothing once anything runs. */
+  /** Needed to start its first task; zero once anything runs. */
   readonly first: Resources
-  /** Time of day since when it has wanted more than it has, and run nothing; `undefined` while it has enough. */
+  /** Wall-clock time since when it has wanted more than its grant and run nothing; `undefined` while the grant suffices. */
   readonly lackingSinceMs: number | undefined
 }
 
-/** A service's own claim, and all that it runs. @public */
+/** A service's own claim, with the resources of its runs. @public */
 export interface OwnClaim extends QuotaClaim {
   readonly used: Resources
 }
 
-/** What a service should do about its grant. @public */
+/** New grant of a service. @public */
 export interface GrantPlan {
-  /** The grant that it should have from now on. */
+  /** The grant to record. */
   readonly granted: Resources
-  /** Tasks may start until so much runs; less than what runs where others come first. */
+  /** Tasks may start while the runs stay within this; may be less than what already runs if other services come first. */
   readonly usable: Resources
 }
 
-/** Grants grow to this multiple of what is wanted: a burst doubles in a moment, and each growth costs a write. */
+/** Grants grow to this multiple of the demand, since bursts double quickly and each growth costs a write. */
 const GROWTH_FACTOR = 2
-/** Share of the limit that each service may keep without work: a turn's first jobs start without waiting for the store. */
+/** Share of the limit that an idle service keeps, so that its first jobs start without waiting for the store. */
 const IDLE_SHARE = 1 / 8
 
-/** @param claim - of a service @returns whether it wants more than it has @public */
+/** @param claim - the claim of a service @returns whether it wants more than its grant @public */
 export const isLacking = ({ wanted, granted }: QuotaClaim): boolean => !fitsWithin(wanted, granted)
 
-/** @param claims - of all services @returns what is granted altogether @public */
+/** @param claims - claims of all services @returns the sum of their grants @public */
 export const sumGranted = (claims: readonly QuotaClaim[]): Resources => claims.reduce((sum, { granted }) => plus(sum, granted), NO_RESOURCES)
 
 /**
  * Plans a service's grant.
  *
- * @param own - the service's claim
- * @param others - those of all other services, as recorded
- * @param limit - of the account, infinite where there is none
- * @param recorded - the service's claim as it stands in the record
- * @returns the grant that it should have; the sum with the others' stays within the limit, unless a lowered limit is exceeded already
+ * @param own - the service's current claim
+ * @param others - stored claims of all other services
+ * @param limit - limit of the account, infinite if there is none
+ * @param recorded - the service's own claim as stored
+ * @returns its new grant; the sum of all grants stays within the limit, unless a lowered limit is exceeded already
  * @public
  */
 export function planGrant (own: OwnClaim, others: readonly QuotaClaim[], limit: Resources, recorded: QuotaClaim = own): GrantPlan {
@@ -64,7 +64,7 @@
     const granted = most(own.granted, least(desired, free))
     return { granted, usable: granted }
   }
-  // What exceeds the limit is given up by the record alone: services that divide different claims could keep more than there is, for good.
+  // An excess is divided by the stored claims alone: services that divided differing claims could exceed the limit forever.
   const share = fairShareOf(isOver ? recorded : own, others, limit)
   const target = most(own.used, least(share, own.wanted))
   if (isOver) return { granted: least(own.granted, target), usable: NO_RESOURCES }
@@ -72,7 +72,7 @@
   return { granted, usable: least(least(granted, share), leftByEarlierClaims(own, others, limit)) }
 }
 
-/** A service that runs nothing gets its first task before those that run something, or began to wait later, start another. */
+/** Reserves the first task of each service that runs nothing before services that run something, or began to wait later, start another. */
 function leftByEarlierClaims (own: OwnClaim, others: readonly QuotaClaim[], limit: Resources): Resources {
   const hasPrecedence = (other: QuotaClaim): boolean =>
     isStarving(other) && fitsWithin(other.first, limit) && (!isStarving(own) || compareWaitingSince(other, own) < 0)
@@ -83,8 +83,8 @@
 const isStarving = (claim: QuotaClaim): boolean => isLacking(claim) && !fitsWithin(claim.first, NO_RESOURCES)
 
 /**
- * The fair share of one service: those that run nothing get what their first task takes, in the order in which they began to lack it; the
- * rest is divided evenly up to what each wants.
+ * Computes the fair share of one service: services that run nothing get the resources of their first task, in the order in which they began to
+ * lack them; the rest is divided evenly, up to the demand of each.
  */
 function fairShareOf (own: QuotaClaim, others: readonly QuotaClaim[], limit: Resources): Resources {
   const claims = [own, ...others]
@@ -108,7 +108,7 @@
   if (amount === Infinity) return Infinity
   const open = claims.map((claim) => {
     const first = firsts.get(claim.service)?.[kind] ?? 0
-    // One that has enough gives up what it does not use by itself.
+    // A service whose grant suffices gives up the unused part by itself.
     return { service: claim.service, first, more: Math.max(0, (isLacking(claim) ? claim.wanted[kind] : claim.granted[kind]) - first) }
   }).sort((a, b) => a.more - b.more || (a.service < b.service ? -1 : 1))
   let left = amount
