--- a/packages/policy/src/lib/jobs/JobSpec.ts
+++ b/packages/policy/src/lib/jobs/JobSpec.ts
@@ -68,7 +68,7 @@
   isPublic: z.boolean().default(false),
   command: z.string(),
   steps: z.array(stepSpecSchema).min(1),
-  /** Unix time on the clock of the accepting host. */
+  /** Milliseconds since 1970 on the clock of the accepting host. */
   submittedMs: z.number(),
   /** Runs of the whole job: the first at `firstRunMs`, then every `intervalMs`; `undefined` for one run at once. */
   schedule: z.object({ runs: count.min(1), firstRunMs: z.number(), intervalMs: z.number() }).optional()
--- a/packages/policy/src/test/MachineNeedTracker.test.ts
+++ b/packages/policy/src/test/MachineNeedTracker.test.ts
@@ -10,11 +10,11 @@
   })
   const cases = [
     { name: 'a steady need', before: 17, now: 17, expected: 2 },
-    { name: 'a growing need, extended by how long a move takes', before: 17, now: 34, expected: 7 },
-    { name: 'one that grows fast, at most twice', before: 0, now: 34, expected: 8 }
+    { name: 'a growing need, extrapolated by the lead time of a move', before: 17, now: 34, expected: 7 },
+    { name: 'a fast-growing need, at most doubled', before: 0, now: 34, expected: 8 }
   ]
   for (const { name, before, now, expected } of cases) {
-    it(`foresees ${expected} machines for ${name}`, () => {
+    it(`predicts ${expected} machines for ${name}`, () => {
       const needs = new MachineNeedTracker()
       needs.trackRecentPeak([demand(before)], NOW_MS)
       needs.trackRecentPeak([demand(now)], NOW_MS + 1000)
--- a/packages/policy/src/test/PlacementRound.test.ts
+++ b/packages/policy/src/test/PlacementRound.test.ts
@@ -50,11 +50,11 @@
   })
 }
 
-/** What is held against the first task of the first job, and where tasks go then. */
+/** Crash points of the first task of the first job, and the expected placements. */
 const cases: ReadonlyArray<{
   readonly name: string
   readonly points: number
-  /** When that was found; a verdict waits for what else is found. */
+  /** Time since the last loss; giving up waits until related losses are detected. */
   readonly judgedAgoMs?: number
   readonly siblingPoints?: number
   readonly steps?: Partial<StepSpec>
@@ -62,19 +62,19 @@
   /** Runs of the first job, and how many of its workers have runs of the second. */
   readonly expected: { readonly placed: number, readonly shared: number, readonly givenUp: number }
 }> = [
-  { name: 'nothing', points: 0, workers: 1, expected: { placed: 2, shared: 1, givenUp: 0 } },
-  { name: 'one crash: it goes where nothing else is', points: 2, workers: 2, expected: { placed: 2, shared: 0, givenUp: 0 } },
-  { name: 'one crash, and there is one worker only: it is left to the job', points: 2, workers: 1, expected: { placed: 2, shared: 0, givenUp: 0 } },
-  { name: 'enough: nothing of its job is placed', points: 5, workers: 2, expected: { placed: 0, shared: 0, givenUp: 1 } },
+  { name: 'no crash: workers are shared', points: 0, workers: 1, expected: { placed: 2, shared: 1, givenUp: 0 } },
+  { name: 'one crash: the task gets a worker without other jobs', points: 2, workers: 2, expected: { placed: 2, shared: 0, givenUp: 0 } },
+  { name: 'one crash and a single worker: it is reserved for the job', points: 2, workers: 1, expected: { placed: 2, shared: 0, givenUp: 0 } },
+  { name: 'enough points: the task is given up and nothing of its job is placed', points: 5, workers: 2, expected: { placed: 0, shared: 0, givenUp: 1 } },
   {
-    name: 'enough, just found: the verdict waits, and another suspected task of the step with it',
+    name: 'enough points, just detected: giving up waits, and so does another suspect task of the step',
     points: 5,
     judgedAgoMs: 10,
     siblingPoints: 4,
     workers: 2,
     expected: { placed: 0, shared: 0, givenUp: 0 }
   },
-  { name: 'enough, in a gang', points: 5, steps: { isGang: true }, workers: 2, expected: { placed: 0, shared: 0, givenUp: 1 } }
+  { name: 'enough points, in a gang', points: 5, steps: { isGang: true }, workers: 2, expected: { placed: 0, shared: 0, givenUp: 1 } }
 ]
 
 describe('PlacementRound, with a task that may crash its worker', () => {
--- a/packages/policy/src/test/QuotaAdmission.test.ts
+++ b/packages/policy/src/test/QuotaAdmission.test.ts
@@ -50,23 +50,23 @@
     readonly first?: number,
     readonly oversized?: number
   }> = [
-    { name: 'all that the grant holds', usable: 250, groups: [{ account: PRESS }], placed: [2], wanted: 200, first: 100 },
-    { name: 'what runs counts', usable: 250, used: 200, groups: [{ account: PRESS }], placed: [0], wanted: 400, first: 100 },
-    { name: 'jobs of nobody are not counted', usable: 0, groups: [{}], placed: [4] },
-    { name: 'another account goes on', usable: 100, groups: [{ account: PRESS }, { account: HERALD }], placed: [1, 4], wanted: 300, first: 100 },
+    { name: 'as many tasks as the grant allows', usable: 250, groups: [{ account: PRESS }], placed: [2], wanted: 200, first: 100 },
+    { name: 'running tasks count against the grant', usable: 250, used: 200, groups: [{ account: PRESS }], placed: [0], wanted: 400, first: 100 },
+    { name: 'jobs without an owner are not counted', usable: 0, groups: [{}], placed: [4] },
+    { name: 'another account is not affected', usable: 100, groups: [{ account: PRESS }, { account: HERALD }], placed: [1, 4], wanted: 300, first: 100 },
     { name: 'smaller tasks behind one that is too large for now', usable: 250, groups: [{ account: PRESS, step: { taskCount: 1, cpuMillis: 300 } }, { account: PRESS }], placed: [0, 2], wanted: 500, first: 300 },
-    { name: 'a gang whole', usable: 400, groups: [{ account: PRESS, step: { isGang: true } }], placed: [4] },
-    { name: 'a gang not in part', usable: 399, groups: [{ account: PRESS, step: { isGang: true } }], placed: [0], wanted: 400, first: 400 },
+    { name: 'a whole gang that fits', usable: 400, groups: [{ account: PRESS, step: { isGang: true } }], placed: [4] },
+    { name: 'no part of a gang that does not fit', usable: 399, groups: [{ account: PRESS, step: { isGang: true } }], placed: [0], wanted: 400, first: 400 },
     {
-      name: 'a task that exceeds the limit waits, and asks for nothing',
+      name: 'a task that exceeds the limit waits, and causes no shortage',
       usable: 1000,
       limit: 1000,
       groups: [{ account: PRESS, step: { taskCount: 1, cpuMillis: 1001 } }, { account: PRESS }],
       placed: [0, 4],
       oversized: 1
     },
-    { name: 'a gang that exceeds the limit, too', usable: 300, limit: 300, groups: [{ account: PRESS, step: { isGang: true } }, { account: PRESS }], placed: [0, 3], wanted: 100, first: 100, oversized: 1 },
-    { name: 'one that no worker has room for leaves the grant to the next', usable: 5000, groups: [{ account: PRESS, step: { taskCount: 1, cpuMillis: 5000 } }, { account: PRESS }], placed: [0, 4] },
+    { name: 'a gang that exceeds the limit waits, too', usable: 300, limit: 300, groups: [{ account: PRESS, step: { isGang: true } }, { account: PRESS }], placed: [0, 3], wanted: 100, first: 100, oversized: 1 },
+    { name: 'a task that fits no worker leaves the quota to the next', usable: 5000, groups: [{ account: PRESS, step: { taskCount: 1, cpuMillis: 5000 } }, { account: PRESS }], placed: [0, 4] },
     { name: 'a lowered limit: nothing starts', usable: 0, used: 700, limit: 500, groups: [{ account: PRESS }], placed: [0], wanted: 400, first: 100 }
   ]
   for (const { name, usable, used = 0, limit = 10_000, groups, placed, wanted, first, oversized = 0 } of cases) {
@@ -82,7 +82,7 @@
     })
   }
 
-  it('keeps no room on workers for tasks that wait for a grant', () => {
+  it('reserves no capacity on workers for tasks that wait for a grant', () => {
     const quota = new QuotaAdmission((account) => account === PRESS ? { used: NO_RESOURCES, usable: cpu(0), limit: cpu(1000) } : undefined)
     const [held, open] = [tasksFor(1, PRESS, { isLasting: true }), tasksFor(2, HERALD, {})]
     const placements = placeTasks([{ tasks: held, mayReserve: true }, { tasks: open, mayReserve: false }], [roomOf('w0', 400)], quota)
@@ -92,10 +92,10 @@
 
 describe('demandOf', () => {
   const cases = [
-    { name: 'all that waits, without a limit', limit: undefined, wantedMillis: 400 },
-    { name: 'all that waits, below the limit', limit: cpu(1000), wantedMillis: 400 },
-    { name: 'no more than the account may have', limit: cpu(150), wantedMillis: 150 },
-    { name: 'no more than its memory lets it have', limit: { cpuMillis: Infinity, memoryMb: 100, gpus: Infinity }, wantedMillis: 100 }
+    { name: 'all waiting tasks, without a limit', limit: undefined, wantedMillis: 400 },
+    { name: 'all waiting tasks, below the limit', limit: cpu(1000), wantedMillis: 400 },
+    { name: 'no more than the limit of the account', limit: cpu(150), wantedMillis: 150 },
+    { name: 'no more than the memory limit of the account allows', limit: { cpuMillis: Infinity, memoryMb: 100, gpus: Infinity }, wantedMillis: 100 }
   ]
   for (const { name, limit, wantedMillis } of cases) {
     it(name, () => {
@@ -109,12 +109,12 @@
 describe('ShareMeter', () => {
   const everyMs = (spacingMs: number, count: number): number[] => Array.from({ length: count }, (_, at) => at * spacingMs)
   const cases = [
-    { name: 'an account that sends its share', weight: 10, arrivalsMs: everyMs(100, 50), excess: 0 },
-    { name: 'one that sends its share of a second at once', weight: 10, arrivalsMs: everyMs(0, 10), excess: 0 },
+    { name: 'an account that submits its share', weight: 10, arrivalsMs: everyMs(100, 50), excess: 0 },
+    { name: 'an account that submits its share of a second at once', weight: 10, arrivalsMs: everyMs(0, 10), excess: 0 },
     { name: 'a flood of seven times the share', weight: 10, arrivalsMs: everyMs(14, 350), excess: 350 - 10 - 48 },
     { name: 'a share below one a second', weight: 0.5, arrivalsMs: [0, 100, 2000, 2100], excess: 2 },
     { name: 'no share at all', weight: 0, arrivalsMs: [0, 100, 5000], excess: 2 },
-    { name: 'clocks that go back', weight: 1, arrivalsMs: [1000, 500, 900], excess: 2 }
+    { name: 'clocks that run backwards', weight: 1, arrivalsMs: [1000, 500, 900], excess: 2 }
   ]
   for (const { name, weight, arrivalsMs, excess } of cases) {
     it(name, () => {
--- a/packages/policy/src/test/accountFlood.test.ts
+++ b/packages/policy/src/test/accountFlood.test.ts
@@ -17,12 +17,12 @@
 const RUN_MS = 600
 const OBJECTIVE_MS = QUEUE.stretch * RUN_MS + QUEUE.targetLatencyMs
 const JOBS_PER_S = 4
-/** Room for a quarter more than all accounts send in the mean. */
+/** Capacity for a quarter more than the mean load of all accounts. */
 const SLOTS = Math.ceil(ACCOUNTS.length * JOBS_PER_S * RUN_MS / 1000 * 1.25)
 const WEIGHT = JOBS_PER_S * 1.8
 const LENGTH_MS = 20_000
 const TICK_MS = 20
-/** What the flood of one account may cost the others. */
+/** Largest share of the other accounts' jobs that a flood may delay beyond the objective. */
 const MOST_LOST_SHARE = 0.02
 
 interface Arrival { readonly account: AccountName, readonly atMs: number }
@@ -41,7 +41,7 @@
   return made.sort((a, b) => a.atMs - b.atMs)
 }
 
-/** Plays jobs of one task each on one service of {@link SLOTS} tasks; the order is what is tested. */
+/** Simulates jobs of one task each on a service with {@link SLOTS} slots, in the order of their ranks. */
 function play (flood: number, hasShares: boolean): Ended[] {
   const meter = new AccountTokenBuckets()
   const times = new RunTimeEstimator()
@@ -72,24 +72,24 @@
   return ended
 }
 
-/** Share of the jobs of all accounts but the flooding one that were in time. */
+/** Returns the share of jobs in time over all accounts but the flooding one. */
 function othersInTime (flood: number, hasShares: boolean): number {
   const others = play(flood, hasShares).filter(({ account }) => account !== FLOODING)
   return others.filter(({ tookMs }) => tookMs <= OBJECTIVE_MS).length / others.length
 }
 
-describe('a flood of one account', () => {
-  it('costs the others next to nothing', () => {
+describe('a flood of jobs from one account', () => {
+  it('hardly delays jobs of the other accounts', () => {
     const without = othersInTime(1, true)
     expect(without).to.be.above(0.95)
     expect(othersInTime(FLOOD, true)).to.be.at.least(without - MOST_LOST_SHARE)
   })
 
-  it('would cost them more if shares did not count', () => {
+  it('would delay them more if shares did not count', () => {
     expect(othersInTime(FLOOD, false)).to.be.below(othersInTime(1, false) - MOST_LOST_SHARE)
   })
 
-  it('is served where there is room', () => {
+  it('still runs on spare capacity', () => {
     const mine = play(FLOOD, true).filter(({ account }) => account === FLOODING)
     expect(mine.length).to.be.above(JOBS_PER_S * LENGTH_MS / 1000 * 1.8)
   })
--- a/packages/policy/src/test/dutyClaimDelayMs.test.ts
+++ b/packages/policy/src/test/dutyClaimDelayMs.test.ts
@@ -10,12 +10,12 @@
     { name: 'a host of half the power without duties before a strong one with two', first: { capacityCores: 0.7, maxCapacityCores: 1.35, heldDuties: 0 }, second: { ...STRONG, heldDuties: 2 } }
   ]
   for (const { name, first, second } of cases) {
-    it(`lets ${name}, whatever their luck`, () => {
+    it(`prefers ${name}, whatever the jitter`, () => {
       expect(dutyClaimDelayMs({ ...first, random: 0.99 })).to.be.below(dutyClaimDelayMs({ ...second, random: 0 }) + 30)
     })
   }
 
-  it('makes nobody wait for longer than a second', () => {
+  it('never delays a claim by more than 1.1 s', () => {
     expect(dutyClaimDelayMs({ capacityCores: 0.01, maxCapacityCores: 10, heldDuties: 20, random: 1 })).to.be.below(1100)
   })
 })
--- a/packages/policy/src/test/placeTasks.test.ts
+++ b/packages/policy/src/test/placeTasks.test.ts
@@ -6,7 +6,7 @@
 import type { PlacementGroup, WorkerRoom } from '../lib/placement/WorkerRoom.js'
 import { testJobId } from './testJobId.js'
 
-/** A worker that counts how often its processor time is looked at. */
+/** A worker that counts reads of its remaining CPU. */
 class CountedRoom implements WorkerRoom {
   static looks = 0
   readonly labels = ['a', 'r1']
@@ -35,7 +35,7 @@
   }
 }
 
-/** Jobs of one step each. */
+/** Creates one group per job, with a single step each. */
 function groupsOf (jobs: number, cpuMillis: (job: number) => number, taskCount = 8): PlacementGroup[] {
   return Array.from({ length: jobs }, (_, number) => {
     const steps = [{ taskCount, cpuMillis: cpuMillis(number) }]
@@ -46,9 +46,9 @@
 
 describe('placeTasks', () => {
   const cases = [
-    { name: 'all that fits', rooms: [16_000, 16_000], jobs: 2, cpuMillis: () => 1000, placed: 16 },
-    { name: 'as many as there is room for', rooms: [4000, 4000], jobs: 2, cpuMillis: () => 1000, placed: 8 },
-    { name: 'smaller tasks behind ones that do not fit', rooms: [4000], jobs: 2, cpuMillis: (job: number) => job === 0 ? 5000 : 500, placed: 8 },
+    { name: 'all tasks that fit', rooms: [16_000, 16_000], jobs: 2, cpuMillis: () => 1000, placed: 16 },
+    { name: 'as many tasks as the capacity allows', rooms: [4000, 4000], jobs: 2, cpuMillis: () => 1000, placed: 8 },
+    { name: 'smaller tasks after ones that do not fit', rooms: [4000], jobs: 2, cpuMillis: (job: number) => job === 0 ? 5000 : 500, placed: 8 },
     { name: 'nothing on full workers', rooms: [0, 0], jobs: 3, cpuMillis: () => 1000, placed: 0 }
   ]
   for (const { name, rooms, jobs, cpuMillis, placed } of cases) {
@@ -58,7 +58,7 @@
     })
   }
 
-  it('looks at full workers a few times, however many tasks wait', () => {
+  it('reads full workers only a few times, however many tasks wait', () => {
     const rooms = Array.from({ length: 200 }, (_, index) => new CountedRoom(`w${index}`, 100))
     CountedRoom.looks = 0
     expect(placeTasks(groupsOf(500, (job) => 1000 + job), rooms, new QuotaAdmission(() => undefined))).to.have.length(0)
--- a/packages/policy/src/test/planDrain.test.ts
+++ b/packages/policy/src/test/planDrain.test.ts
@@ -35,12 +35,12 @@
 
 describe('mayBeAway', () => {
   const cases = [
-    { name: 'all others are at work', others: [[100, 100], [100, 100]], maxAway: 1, expected: true },
-    { name: 'another is on its way', others: [[100, 100], [100, 40]], maxAway: 1, expected: false },
+    { name: 'all others are ready', others: [[100, 100], [100, 100]], maxAway: 1, expected: true },
+    { name: 'another is still starting', others: [[100, 100], [100, 40]], maxAway: 1, expected: false },
     { name: 'another has no run', others: [[100, 100]], maxAway: 1, expected: false },
-    { name: 'another’s worker has not answered lately', others: [[100, 100], [2000, 100]], maxAway: 1, expected: false },
-    { name: 'two may be away and one is', others: [[100, 100], [2000, 100]], maxAway: 2, expected: true },
-    { name: 'none may be away', others: [[100, 100], [100, 100]], maxAway: 0, expected: false },
+    { name: 'the worker of another has not answered recently', others: [[100, 100], [2000, 100]], maxAway: 1, expected: false },
+    { name: 'two may be unavailable and one is', others: [[100, 100], [2000, 100]], maxAway: 2, expected: true },
+    { name: 'none may be unavailable', others: [[100, 100], [100, 100]], maxAway: 0, expected: false },
     { name: 'there is no bound', others: [], maxAway: undefined, expected: true }
   ]
   for (const { name, others, maxAway, expected } of cases) {
@@ -57,7 +57,7 @@
   const cases = [
     { name: 'lets a short task finish', step: {}, sinceMs: NOW_MS - 1000, stopped: 0 },
     { name: 'stops a task that takes too long', step: {}, sinceMs: NOW_MS - 6000, stopped: 3 },
-    { name: 'stops a task that saves its progress at once', step: { isCheckpointing: true }, sinceMs: NOW_MS, stopped: 3 },
+    { name: 'stops a checkpointing task at once', step: { isCheckpointing: true }, sinceMs: NOW_MS, stopped: 3 },
     { name: 'stops lasting tasks of a step one at a time', step: { isLasting: true, maxAway: 1 }, sinceMs: NOW_MS, stopped: 1 }
   ]
   for (const { name, step, sinceMs, stopped } of cases) {
--- a/packages/policy/src/test/planGrant.test.ts
+++ b/packages/policy/src/test/planGrant.test.ts
@@ -16,51 +16,51 @@
   const cases: ReadonlyArray<{
     readonly name: string, readonly own: Shape, readonly others?: readonly Shape[], readonly granted: number, readonly usable?: number
   }> = [
-    { name: 'nothing running: a part of the limit is kept ready', own: {}, granted: 100 },
+    { name: 'nothing running: the idle share of the limit', own: {}, granted: 100 },
     { name: 'a burst: twice what it wants', own: { granted: 100, used: 100, wanted: 300, first: 0 }, granted: 600 },
     { name: 'a burst beyond the limit: the limit', own: { used: 0, wanted: 3000, first: 10 }, granted: 800 },
-    { name: 'the others hold a part: what is free', own: { wanted: 3000, first: 10 }, others: [{ granted: 300, used: 300 }], granted: 500 },
-    { name: 'less work than before: the grant stays until somebody lacks one', own: { granted: 700, used: 10 }, granted: 700 },
-    { name: 'another lacks one: what is not used is given up', own: { granted: 700, used: 10 }, others: [{ wanted: 600, first: 10, sinceMs: 1 }], granted: 10 },
+    { name: 'others hold a part of the limit: the free part', own: { wanted: 3000, first: 10 }, others: [{ granted: 300, used: 300 }], granted: 500 },
+    { name: 'less demand than before: the grant stays until another service lacks one', own: { granted: 700, used: 10 }, granted: 700 },
+    { name: 'another service lacks a grant: the unused part is given up', own: { granted: 700, used: 10 }, others: [{ wanted: 600, first: 10, sinceMs: 1 }], granted: 10 },
     {
-      name: 'another lacks one while all of this is used: it keeps it, and starts nothing beyond half',
+      name: 'another service lacks a grant while all of this one is used: it stays, and nothing starts beyond half of the limit',
       own: { granted: 800, used: 800, wanted: 900, sinceMs: 1 },
       others: [{ wanted: 900, sinceMs: 2 }],
       granted: 800,
       usable: 400
     },
     {
-      name: 'both lack one: the free part up to half of the limit',
+      name: 'both lack a grant: the free part up to half of the limit',
       own: { wanted: 900, first: 10, sinceMs: 2 },
       others: [{ granted: 800, wanted: 900, sinceMs: 1 }],
       granted: 0
     },
     {
-      name: 'both lack one, and there is room: half of the limit',
+      name: 'both lack a grant and the limit has a free part: half of the limit',
       own: { wanted: 900, first: 10, sinceMs: 2 },
       others: [{ granted: 300, wanted: 900, sinceMs: 1 }],
       granted: 405
     },
     {
-      name: 'a limit of one task for two that want one: the one that waits longer',
+      name: 'a limit of one task for two services: the one that has waited longer gets it',
       own: { wanted: 700, first: 700, sinceMs: 1 },
       others: [{ wanted: 700, first: 700, sinceMs: 2 }],
       granted: 700
     },
     {
-      name: 'a limit of one task for two that want one: not the other',
+      name: 'a limit of one task for two services: the other gets none',
       own: { wanted: 700, first: 700, sinceMs: 2 },
       others: [{ wanted: 700, first: 700, sinceMs: 1 }],
       granted: 100,
       usable: 100
     },
     {
-      name: 'rests in five places that hold a task together: each gives up its own',
+      name: 'unused rests of five grants that add up to one task: each service gives up its own',
       own: { granted: 160, used: 100 },
       others: [{ wanted: 300, first: 300, sinceMs: 1 }, ...Array.from({ length: 4 }, () => ({ granted: 160 }))],
       granted: 100
     },
-    { name: 'a lowered limit: what runs stays, nothing starts', own: { granted: 1200, used: 900, wanted: 2000, sinceMs: 1 }, granted: 900, usable: 0 },
+    { name: 'a lowered limit: runs continue, and nothing starts', own: { granted: 1200, used: 900, wanted: 2000, sinceMs: 1 }, granted: 900, usable: 0 },
     {
       name: 'a lowered limit that another exceeds: nothing starts',
       own: { granted: 100, used: 0, wanted: 50, first: 50 },
@@ -68,7 +68,7 @@
       granted: 50,
       usable: 0
     },
-    { name: 'work that was placed before there was a limit: it counts', own: { granted: 0, used: 300 }, granted: 600 }
+    { name: 'runs placed before there was a limit: they count', own: { granted: 0, used: 300 }, granted: 600 }
   ]
   for (const { name, own, others = [], granted, usable } of cases) {
     it(name, () => {
@@ -78,7 +78,7 @@
     })
   }
 
-  it('limits nothing that has no limit', () => {
+  it('does not limit resources without a limit', () => {
     const plan = planGrant({ ...claimOf('own', { wanted: 100 }), wanted: amounts(100, 5000) }, [], LIMIT)
     expect(plan.granted.memoryMb).to.be.at.least(5000)
   })
@@ -95,10 +95,10 @@
     isUnknown: fc.boolean()
   })
 
-  /** A service of the model: what it runs, and what waits. */
+  /** Model of a service: resources of its runs and of its waiting tasks. */
   interface Holder { used: Resources, waiting: Resources, first: Resources }
 
-  it('never grants more than the limit altogether, and starts nothing beyond it, in any order of changes', () => {
+  it('never exceeds the limit by its grants or runs, in any order of changes', () => {
     fc.assert(fc.property(fc.array(stepArbitrary, { maxLength: 60 }), (steps) => {
       const holders = new Map<string, Holder>(NAMES.map((name) => [name, { used: NO_RESOURCES, waiting: NO_RESOURCES, first: NO_RESOURCES }]))
       const claims = new Map<string, QuotaClaim>()
@@ -120,7 +120,7 @@
         const usable = { ...plan.usable, gpus: Infinity }
         const isWritten = !isOvertaken
         if (isWritten) claims.set(service, { ...own, granted: plan.granted, lackingSinceMs: 1 })
-        // Its answer may be lost: then only what was granted before as well counts.
+        // If the answer of the store is lost, only what was already granted before is usable.
         const mayUse = isWritten && !isUnknown ? usable : { ...least(usable, own.granted), gpus: Infinity }
         if (fitsWithin(plus(holder.used, task), mayUse)) holder.used = plus(holder.used, task)
         expect(fitsWithin(sumGranted([...claims.values()]), LIMIT_OF_MODEL)).to.equal(true)
@@ -136,7 +136,7 @@
     readonly services: ReadonlyArray<{ readonly recorded: Shape, readonly present: Shape }>
   }
 
-  /** Each service plans by the same record, and knows only of itself what is not written there yet. @returns what they are granted together */
+  /** Plans each service by the stored claims and its own current claim, which may not be stored yet. @returns the sum of the grants */
   function dividedMillis ({ services, limitMillis }: DividedCase): number {
     const recorded = services.map((service, at) => claimOf(`s${at}`, service.recorded))
     return services.reduce((sum, { present }, at) => {
@@ -150,7 +150,7 @@
   const waiting = { wanted: 100_000, sinceMs: 1 }
   const divided: readonly DividedCase[] = [
     {
-      name: 'one of two services has no task running any more, and the record does not say so',
+      name: 'one of two services has no run any more, which is not stored yet',
       limitMillis: 1500,
       services: [
         { recorded: { granted: 750, ...waiting }, present: { wanted: 100_000 } },
@@ -158,7 +158,7 @@
       ]
     },
     {
-      name: 'three services, all with other tasks in line than the record says',
+      name: 'three services whose next tasks differ from the stored claims',
       limitMillis: 1000,
       services: [400, 300, 200].map((first) => ({ recorded: { granted: 700, first: 10, ...waiting }, present: { wanted: 100_000, first } }))
     },
@@ -169,12 +169,12 @@
     }
   ]
   for (const { name, ...claims } of divided) {
-    it(`a lowered limit is kept by what each gives up on its own: ${name}`, () => {
+    it(`services converge below a lowered limit independently: ${name}`, () => {
       expect(dividedMillis({ name, ...claims })).to.be.at.most(claims.limitMillis)
     })
   }
 
-  it('a lowered limit is kept by what each gives up on its own, whatever the record does not say yet', () => {
+  it('services converge below a lowered limit independently, whatever is not stored yet', () => {
     const amount = fc.integer({ min: 0, max: 100 })
     const shape = fc.record({ granted: amount, wanted: amount, first: amount, isLacking: fc.boolean() })
     const service = fc.record({ recorded: shape, present: fc.record({ wanted: amount, first: amount, used: amount }) })
@@ -193,7 +193,7 @@
     }))
   })
 
-  it('gives each service its first task in the end, whatever the others want', () => {
+  it('eventually starts the first task of each service, whatever the others want', () => {
     fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: 100 }), { minLength: 2, maxLength: 4 }), (sizes) => {
       const limit = amounts(100)
       const claims = new Map<string, OwnClaim>(sizes.map((size, at) => [`s${at}`, claimOf(`s${at}`, { wanted: size * 5, first: size, sinceMs: at })]))
--- a/packages/policy/src/test/planPools.test.ts
+++ b/packages/policy/src/test/planPools.test.ts
@@ -11,7 +11,7 @@
   readonly busyRuns?: number
 }
 
-/** Pool `off` is one whose machines are off; the others are services with machines of 16 cores, some of them idle. */
+/** Pool `off` is a headroom pool with machines that are off; the others are services with machines of 16 cores, some of them idle. */
 function viewOf (pools: readonly Pool[], refused: readonly string[] = []): PoolPlanningInput {
   const machines = new Map<string, ListedMachine>()
   const demands: ServiceDemand[] = []
@@ -43,27 +43,27 @@
 
 describe('planPools', () => {
   const cases: ReadonlyArray<{ name: string, pools: readonly Pool[], refused?: string[], moves: string[] }> = [
-    { name: 'nothing where room and need agree', pools: [{ name: 'a', machines: 3 }, { name: 'off', machines: 2 }], moves: [] },
-    { name: 'a parked machine to a service that wants more', pools: [{ name: 'a', machines: 3, wantedCores: 50 }, { name: 'off', machines: 2 }], moves: ['off0 off>a'] },
+    { name: 'no move if capacity matches the need', pools: [{ name: 'a', machines: 3 }, { name: 'off', machines: 2 }], moves: [] },
+    { name: 'a headroom machine to a service that needs more', pools: [{ name: 'a', machines: 3, wantedCores: 50 }, { name: 'off', machines: 2 }], moves: ['off0 off>a'] },
     {
-      name: 'an idle machine of another service when none is parked',
+      name: 'an idle machine of another service if there is no headroom machine',
       pools: [{ name: 'a', machines: 3, wantedCores: 50 }, { name: 'b', machines: 5, idle: 2 }],
       moves: ['b0 b>a', 'b1 b>off']
     },
     {
-      name: 'a machine of another service whose few runs will leave, when none is idle',
+      name: 'a machine of another service with few runs, if none is idle',
       pools: [{ name: 'a', machines: 3, wantedCores: 50 }, { name: 'b', machines: 5, busyRuns: 3 }],
       moves: ['b0 b>a']
     },
     { name: 'no busy machine of another service', pools: [{ name: 'a', machines: 3, wantedCores: 50 }, { name: 'b', machines: 5 }], moves: [] },
-    { name: 'idle machines beyond the need are parked', pools: [{ name: 'a', machines: 6, idle: 6 }, { name: 'off', machines: 0 }], moves: ['a0 a>off', 'a1 a>off', 'a2 a>off', 'a3 a>off'] },
+    { name: 'idle machines beyond the need go to the headroom pool', pools: [{ name: 'a', machines: 6, idle: 6 }, { name: 'off', machines: 0 }], moves: ['a0 a>off', 'a1 a>off', 'a2 a>off', 'a3 a>off'] },
     {
-      name: 'a parked machine before an idle one of another service',
+      name: 'a headroom machine before an idle one of another service',
       pools: [{ name: 'a', machines: 3, wantedCores: 50 }, { name: 'b', machines: 3, idle: 1 }, { name: 'off', machines: 2 }],
       moves: ['off0 off>a', 'b0 b>off']
     },
-    { name: 'what was needed lately is kept', pools: [{ name: 'a', machines: 6, idle: 6, recent: 6 }, { name: 'off', machines: 0 }], moves: [] },
-    { name: 'a pair that the platform refused is not asked for again', pools: [{ name: 'a', machines: 3, wantedCores: 50 }, { name: 'off', machines: 1 }], refused: ['off0 a'], moves: [] }
+    { name: 'recently needed machines are kept', pools: [{ name: 'a', machines: 6, idle: 6, recent: 6 }, { name: 'off', machines: 0 }], moves: [] },
+    { name: 'a move that the platform refused is not requested again', pools: [{ name: 'a', machines: 3, wantedCores: 50 }, { name: 'off', machines: 1 }], refused: ['off0 a'], moves: [] }
   ]
   for (const { name, pools, refused, moves } of cases) {
     it(name, () => {
@@ -79,7 +79,7 @@
     expect(planPools({ ...view, predictedNeed: new Map([['a', 5]]) })).to.have.length(2)
   })
 
-  it('leaves machines alone that are busy, and counts them where they will be', () => {
+  it('does not move busy machines, and counts them in their next pool', () => {
     const view = viewOf([{ name: 'a', machines: 3, wantedCores: 50 }, { name: 'off', machines: 2 }])
     expect(planPools({ ...view, busy: new Map([['off0', 'a']]) })).to.deep.equal([])
   })
--- a/packages/policy/src/test/planWave.test.ts
+++ b/packages/policy/src/test/planWave.test.ts
@@ -2,7 +2,7 @@
 import type { ListedMachine } from '@quillscale/ports'
 import { planWave } from '../lib/machines/planWave.js'
 
-/** Machines `a0` to `a7` of a service, `off0` to `off3` where nothing runs. */
+/** Machines `a0` to `a7` of a service, and `off0` to `off3` of a headroom pool. */
 const MACHINES = new Map<string, ListedMachine>([
   ...Array.from({ length: 8 }, (_, index) => ['a', index] as const), ...Array.from({ length: 4 }, (_, index) => ['off', index] as const)
 ].map(([pool, index]) => [`${pool}${index}`, { machineId: `${pool}${index}`, pool, state: 'up', availabilityZone: 'z', workerId: '' }]))
@@ -10,9 +10,9 @@
 describe('planWave', () => {
   const cases = [
     { name: 'machines where nothing runs go first, as many as may be down', open: ['a0', 'a1', 'off0', 'off1'], underWay: [], maxAtOnce: 2, leftShare: 1, chosen: ['off0', 'off1'] },
-    { name: 'of a service one at a time', open: ['a0', 'a1', 'a2'], underWay: [], maxAtOnce: 3, leftShare: 1, chosen: ['a0'] },
-    { name: 'more of a service when time runs out', open: ['a0', 'a1', 'a2'], underWay: [], maxAtOnce: 3, leftShare: 0.2, chosen: ['a0', 'a1'] },
-    { name: 'none while as many are under way as may be', open: ['off0'], underWay: ['a0', 'a1'], maxAtOnce: 2, leftShare: 1, chosen: [] },
+    { name: 'one machine of a service at a time', open: ['a0', 'a1', 'a2'], underWay: [], maxAtOnce: 3, leftShare: 1, chosen: ['a0'] },
+    { name: 'more machines of a service when the wave is late', open: ['a0', 'a1', 'a2'], underWay: [], maxAtOnce: 3, leftShare: 0.2, chosen: ['a0', 'a1'] },
+    { name: 'none while the maximum is in progress', open: ['off0'], underWay: ['a0', 'a1'], maxAtOnce: 2, leftShare: 1, chosen: [] },
     { name: 'none beside one of the same service', open: ['a1', 'a2'], underWay: ['a0'], maxAtOnce: 4, leftShare: 1, chosen: [] },
     { name: 'none that is busy with something else', open: ['a7'], underWay: [], maxAtOnce: 4, leftShare: 1, chosen: [] },
     { name: 'none that is not listed', open: ['gone'], underWay: [], maxAtOnce: 4, leftShare: 1, chosen: [] }
--- a/packages/policy/src/test/rankStep.test.ts
+++ b/packages/policy/src/test/rankStep.test.ts
@@ -7,7 +7,7 @@
 import { testJobId } from './testJobId.js'
 
 const QUEUE: QueueConfiguration = { name: 'q', service: 's', host: 'h', pathPrefix: '/', timeoutMs: 1000, priority: 1, attempts: 2, stretch: 2, targetLatencyMs: 500 }
-/** 1 s of work, so that a job is in time until 2.5 s after it was handed in, and of some use until 7.5 s. */
+/** 1 s of work, so that a job is in time until 2.5 s after its submission, and of some value until 7.5 s. */
 const STEP: Partial<StepSpec> = { taskCount: 4, cpuMillis: 1000, estimateMs: 1000 }
 const NOW_MS = 100_000
 
@@ -19,7 +19,7 @@
   readonly step?: Partial<StepSpec>
 }
 
-describe('the order of waiting jobs', () => {
+describe('rankStep and compareRanks', () => {
   function jobOf ({ ageMs, doneTasks = 0, isExcess = false, step = {} }: Waiting, number: number): Job {
     const job = createJob(jobSpecSchema.parse({ jobId: testJobId(number), queue: 'q', command: '', submittedMs: NOW_MS - ageMs, steps: [{ ...STEP, ...step }] }))
     job.isOverShare = isExcess
@@ -29,15 +29,15 @@
 
   const cases: ReadonlyArray<{ readonly name: string, readonly first: Waiting, readonly second: Waiting }> = [
     { name: 'a lasting task before all others', first: { ageMs: 0, step: { isLasting: true } }, second: { ageMs: 100 } },
-    { name: 'the earlier one of two that have not begun', first: { ageMs: 200 }, second: { ageMs: 100 } },
-    { name: 'one that has begun before one that has not, though that came earlier', first: { ageMs: 100, doneTasks: 1 }, second: { ageMs: 1000 } },
-    { name: 'the one of which a larger share is done', first: { ageMs: 100, doneTasks: 3 }, second: { ageMs: 300, doneTasks: 1 } },
-    { name: 'a large one that is half done before a small one that has not begun', first: { ageMs: 100, doneTasks: 20, step: { taskCount: 40 } }, second: { ageMs: 300 } },
-    { name: 'what can be in time before what is late, however much of that is done', first: { ageMs: 1000 }, second: { ageMs: 3000, doneTasks: 3 } },
-    { name: 'what is late before what is past any use', first: { ageMs: 3000 }, second: { ageMs: 9000, doneTasks: 3 } },
-    { name: 'what is late before what is beyond a share', first: { ageMs: 3000 }, second: { ageMs: 100, isExcess: true } },
-    { name: 'what is beyond a share before what is past any use', first: { ageMs: 100, isExcess: true }, second: { ageMs: 9000 } },
-    { name: 'of those past any use the one with the least work left', first: { ageMs: 9000, step: { taskCount: 2 } }, second: { ageMs: 20_000, doneTasks: 1 } }
+    { name: 'the earlier of two jobs that have not started', first: { ageMs: 200 }, second: { ageMs: 100 } },
+    { name: 'a started job before an earlier one that has not started', first: { ageMs: 100, doneTasks: 1 }, second: { ageMs: 1000 } },
+    { name: 'the job with the larger completed share', first: { ageMs: 100, doneTasks: 3 }, second: { ageMs: 300, doneTasks: 1 } },
+    { name: 'a large job that is half done before a small one that has not started', first: { ageMs: 100, doneTasks: 20, step: { taskCount: 40 } }, second: { ageMs: 300 } },
+    { name: 'a job that can be in time before a late one, however much of that is done', first: { ageMs: 1000 }, second: { ageMs: 3000, doneTasks: 3 } },
+    { name: 'a late job before one of no value any more', first: { ageMs: 3000 }, second: { ageMs: 9000, doneTasks: 3 } },
+    { name: 'a late job before one beyond its account\'s share', first: { ageMs: 3000 }, second: { ageMs: 100, isExcess: true } },
+    { name: 'a job beyond its account\'s share before one of no value any more', first: { ageMs: 100, isExcess: true }, second: { ageMs: 9000 } },
+    { name: 'of jobs of no value any more the one with the least work left', first: { ageMs: 9000, step: { taskCount: 2 } }, second: { ageMs: 20_000, doneTasks: 1 } }
   ]
   for (const { name, first, second } of cases) {
     it(`puts ${name}`, () => {
