--- a/packages/policy/src/lib/placement/isolation.ts
+++ b/packages/policy/src/lib/placement/isolation.ts
@@ -39,11 +39,11 @@
  */
 export function reserveForSuspects (groups: readonly PlacementGroup[], rooms: readonly WorkerRoom[]): void {
   const jobs = new Set(groups.flatMap(({ tasks }) => tasks.filter(isCrashSuspect).map(({ job }) => job)))
-  let left = Math.max(1, Math.floor(rooms.length * MAX_RESERVED_SHARE)) - rooms.filter(({ reservedFor: leftTo }) => leftTo !== undefined).length
+  let left = Math.max(1, Math.floor(rooms.length * MAX_RESERVED_SHARE)) - rooms.filter(({ reservedFor }) => reservedFor !== undefined).length
   for (const job of jobs) {
     if (left <= 0) return
     if (rooms.some((room) => room.reservedFor === job)) continue
-    const open = rooms.filter(({ reservedFor: leftTo }) => leftTo === undefined)
+    const open = rooms.filter(({ reservedFor }) => reservedFor === undefined)
     if (open.length === 0) return
     const emptiest = open.reduce((best, room) => isolationCost(room, job) < isolationCost(best, job) ? room : best)
     emptiest.reservedFor = job
--- a/packages/policy/src/lib/placement/placeTasks.ts
+++ b/packages/policy/src/lib/placement/placeTasks.ts
@@ -106,10 +106,11 @@
   const isAvoided = task.avoidedInstances.has(room.instanceId)
   const disturbed = step.isFiller ? room.latencySensitiveTasks + room.fillers : step.targetTailMs > 0 ? room.fillers : 0
   const used = 2 - room.cpuMillis / Math.max(1, room.capacity.cpuMillis) - room.memoryMb / Math.max(1, room.capacity.memoryMb)
-  const together = step.isLasting ? room.runsByStep.get(task.stepKey) ?? 0 : 0
-  const harmed = isCrashSuspect(task) ? countRunsOfOtherJobs(room, task.job) : 0
-  const against = harmed * ENDANGERED_RUN_WEIGHT + (isAvoided ? AVOIDED_WORKER_WEIGHT : 0) + disturbed * INTERFERENCE_WEIGHT + together * COLOCATION_WEIGHT
-  return (isNear ? LOCALITY_WEIGHT : 0) + used - against
+  const colocatedRuns = step.isLasting ? room.runsByStep.get(task.stepKey) ?? 0 : 0
+  const endangeredRuns = isCrashSuspect(task) ? countRunsOfOtherJobs(room, task.job) : 0
+  const penalty = endangeredRuns * ENDANGERED_RUN_WEIGHT + (isAvoided ? AVOIDED_WORKER_WEIGHT : 0) +
+    disturbed * INTERFERENCE_WEIGHT + colocatedRuns * COLOCATION_WEIGHT
+  return (isNear ? LOCALITY_WEIGHT : 0) + used - penalty
 }
 
 /** Each weight exceeds the sum of all lower criteria (utilization adds at most 2). */
@@ -122,11 +123,11 @@
 function findBestRoom (task: Task, group: PlacementGroup, rooms: readonly WorkerRoom[]): WorkerRoom | undefined {
   const step = stepOf(task)
   let best: WorkerRoom | undefined
-  let bestPreference = -Infinity
+  let bestScore = -Infinity
   for (const room of rooms) {
     if (!fits(step, room) || !isSuitable(task, step, group, room)) continue
     const value = placementScore(task, step, room)
-    if (value > bestPreference) [best, bestPreference] = [room, value]
+    if (value > bestScore) [best, bestScore] = [room, value]
   }
   return best
 }
