--- a/packages/scheduler/src/lib/jobs/CrashTracker.ts
+++ b/packages/scheduler/src/lib/jobs/CrashTracker.ts
@@ -1,169 +1,189 @@
 /**
- * Holds against tasks the workers that ended under them, and tells crashes from what takes several workers at once.
+ * Charges tasks with penalty points for workers that ended while running them, and distinguishes crashes caused by a task from outages
+ * that end several workers at once.
  *
  * @module
  */
 import { hasEnded, isCrashSuspect, CRASH_POINTS, EARLY_LOSS_MS, type CrashRecord, type Job, type WorkerLossKind, type Run, type Task } from '@quillscale/policy'
 import type { EventLog } from '../duties/EventLog.js'
 
-/** A worker whose runs are lost. @public */
+/** A worker that ended, and the runs that were lost with it. @public */
 export interface WorkerLoss {
   readonly instanceId: string
-  /** `undefined` for one that this holder never met. */
+  /** `undefined` if this duty holder has never contacted the worker. */
   readonly rack: string | undefined
   readonly availabilityZone: string | undefined
-  /** Placed there and not known to be over. */
+  /** Runs that were placed on the worker and are not known to have ended. */
   readonly runs: readonly Run[]
-  /** Monotonic; when it last answered this holder, `undefined` if it never did. */
+  /** Monotonic time of the last answer to this duty holder; `undefined` if the worker never answered it. */
   readonly lastAnswerMs: number | undefined
-  /** It drained, its machine was being emptied, or its registration had ended while it still answered. */
+  /** The worker was draining, its machine was being vacated, or its registration had ended while it still answered. */
   readonly isPlanned: boolean
-  /** Nothing tells that it ended: it does not answer, and its leases are over. */
+  /** Nothing confirms that the worker ended: it does not answer, and its leases have expired. */
   readonly isSilent: boolean
 }
 
-/** What the book works with. @public */
+/** Dependencies of a {@link CrashTracker}. @public */
 export interface CrashTrackerOptions {
   readonly log: EventLog
+  /** Counts a lost worker in the metrics. */
   readonly count: (kind: WorkerLossKind) => void
-  /** Called for each job of which something was taken back. */
+  /** Called for each job whose tasks had points taken back. */
   readonly onChanged: (job: Job) => void
 }
 
-/** What a task was given for one crash, in the record that it had then: a long run replaces a record, and newer crashes are not in it. */
+/**
+ * Points that a task received for one crash, with the record they were added to. A long run gives the task a new record; points of the old
+ * record must not be taken from the new one, which holds newer crashes only.
+ */
 interface Penalty { readonly task: Task, readonly record: CrashRecord, readonly hasSurvivedStart: boolean, points: number }
 
 interface Crash {
   readonly atMs: number
   readonly loss: WorkerLoss
   readonly penalties: readonly Penalty[]
-  /** Whose runs had just begun there. */
+  /** Jobs with a run that had just started on the worker. */
   readonly justStartedJobs: ReadonlySet<Job>
   isShared: boolean
 }
 
-/** Workers near one that ended. */
+/** Numbers of other workers that ended at the same time and that no common job can have ended. */
 interface UnrelatedLosses { readonly inRack: number, readonly inZone: number }
 
-/** Workers that lose power together are found to be gone within this time: one list of machines, or two. */
+/** Losses of workers that fail together are detected within this time: one or two listings of the machines. */
 const SIMULTANEOUS_LOSS_MS = 1000
-/** Workers of one rack or zone that must end together to show a cause of their own beyond doubt. */
+/** Workers of one rack or zone that must end together to prove a common cause, such as a power loss. */
 const MIN_CORRELATED_LOSSES = 3
-/** What was held against a task is taken back if the cause turns out within this: a job is given up a few seconds after its first crash. */
+/** How long points can be taken back. A job is given up a few seconds after its first crash, so all its crashes are still known then. */
 const CRASH_RETENTION_MS = 60_000
-/** Crashes remembered; the oldest are forgotten. */
+/** Bounds the memory used; the oldest crashes are dropped. */
 const MAX_RETAINED_CRASHES = 200
-/** Named in a line of the log at most. */
 const MAX_LOGGED_TASKS = 20
 
-/** The book. @public */
+/** Records lost workers, and keeps the penalty points of the tasks that ran on them. @public */
 export class CrashTracker {
   readonly #options: CrashTrackerOptions
   #crashes: Crash[] = []
 
-  /** @param options - what it works with */
+  /** @param options - dependencies */
   constructor (options: CrashTrackerOptions) {
     this.#options = options
   }
 
-  /** Takes note that a worker has ended. @param loss - the worker @param nowMs - monotonic */
+  /**
+   * Charges the tasks that ran on a lost worker, then reduces the points where a common cause such as a power loss has become evident.
+   *
+   * @param loss - the worker and its runs
+   * @param nowMs - current monotonic time
+   */
   recordLoss (loss: WorkerLoss, nowMs: number): void {
-    // Where it was to end, what it is known to have lived on under has nothing to do with it.
-    const begun = loss.runs.filter((run) => run.phase !== 'recording' && !(loss.isPlanned && hasOutlived(loss, run)))
-    if (begun.length === 0) return
-    const soonTasks = new Set(begun.filter((run) => isSoonAfterStart(run, nowMs)).map(({ task }) => task))
-    const suspects = new Set([...soonTasks].filter(isCrashSuspect).map(({ job }) => job))
-    const isAlone = new Set(begun.map(({ task }) => task.job)).size === 1
-    const charges = begun.map((run): Penalty =>
+    // If the end was planned, a run that the worker is known to have survived for a while did not cause it.
+    const candidateRuns = loss.runs.filter((run) => run.phase !== 'recording' && !(loss.isPlanned && hasSurvivedStart(loss, run)))
+    if (candidateRuns.length === 0) return
+    const justStartedTasks = new Set(candidateRuns.filter((run) => hasJustStarted(run, nowMs)).map(({ task }) => task))
+    const suspects = new Set([...justStartedTasks].filter(isCrashSuspect).map(({ job }) => job))
+    const isSingleJob = new Set(candidateRuns.map(({ task }) => task.job)).size === 1
+    const penalties = candidateRuns.map((run): Penalty =>
       ({
         task: run.task,
         record: run.task.crashes,
-        hasSurvivedStart: hasOutlived(loss, run),
-        points: CRASH_POINTS[lossKindOf(loss, run.task, soonTasks, suspects)]
+        hasSurvivedStart: hasSurvivedStart(loss, run),
+        points: CRASH_POINTS[lossKindOf(loss, run.task, justStartedTasks, suspects)]
       }))
-    for (const { task, record, points } of charges) {
-      const isSoon = soonTasks.has(task)
+    for (const { task, record, points } of penalties) {
+      const isJustStarted = justStartedTasks.has(task)
       record.points += points
       record.lastLossMs = nowMs
-      record.hasEarlyLoss = !loss.isSilent && isSoon && (suspects.size === 0 || suspects.has(task.job))
-      record.isLastLossCertain = !loss.isSilent && isAlone && isSoon
-      record.hasOnlyEarlyLosses &&= isSoon
+      record.hasEarlyLoss = !loss.isSilent && isJustStarted && (suspects.size === 0 || suspects.has(task.job))
+      record.isLastLossCertain = !loss.isSilent && isSingleJob && isJustStarted
+      record.hasOnlyEarlyLosses &&= isJustStarted
     }
-    this.#report(loss, baseLossKindOf(loss, soonTasks.size > 0), charges)
+    this.#report(loss, baseLossKindOf(loss, justStartedTasks.size > 0), penalties)
     if (loss.isSilent) return
-    const soonJobs = new Set([...soonTasks].map(({ job }) => job))
-    const remembered = this.#crashes.filter(({ atMs }) => nowMs - atMs < CRASH_RETENTION_MS).slice(1 - MAX_RETAINED_CRASHES)
-    this.#crashes = [...remembered, { atMs: nowMs, loss, penalties: charges, justStartedJobs: soonJobs, isShared: false }]
+    const justStartedJobs = new Set([...justStartedTasks].map(({ job }) => job))
+    const retained = this.#crashes.filter(({ atMs }) => nowMs - atMs < CRASH_RETENTION_MS).slice(1 - MAX_RETAINED_CRASHES)
+    this.#crashes = [...retained, { atMs: nowMs, loss, penalties, justStartedJobs, isShared: false }]
     const recent = this.#crashes.filter(({ atMs }) => nowMs - atMs < SIMULTANEOUS_LOSS_MS)
     for (const crash of recent) this.#applyCommonCause(crash, countUnrelatedLosses(crash, recent))
   }
 
-  /** Takes back what was held against others for crashes of a job that is known to end its workers. @param culprit - that was given up */
+  /**
+   * Takes points back from tasks of other jobs for crashes that are now attributed to the given job.
+   *
+   * @param culprit - the job that was given up because it ends its workers
+   */
   clearOtherJobs (culprit: Job): void {
-    for (const { loss, penalties: charges, justStartedJobs: soonJobs } of this.#crashes) {
-      if (!soonJobs.has(culprit)) continue
-      const innocent = charges.filter(({ task, points }) => task.job !== culprit && points > 0 && !hasEnded(task.job))
-      // Two jobs may both do so: one that may have just begun there keeps as much as for any doubtful end.
-      for (const { record } of innocent) record.hasEarlyLoss = false
-      for (const charge of innocent) this.#reducePenalty(charge, charge.hasSurvivedStart ? CRASH_POINTS.cleared : CRASH_POINTS.beside)
-      if (innocent.length > 0) this.#report(loss, 'cleared', innocent)
+    for (const { loss, penalties, justStartedJobs } of this.#crashes) {
+      if (!justStartedJobs.has(culprit)) continue
+      const otherPenalties = penalties.filter(({ task, points }) => task.job !== culprit && points > 0 && !hasEnded(task.job))
+      // Both jobs may be at fault: a task that may have just started there keeps the points of a loss whose cause is uncertain.
+      for (const { record } of otherPenalties) record.hasEarlyLoss = false
+      for (const penalty of otherPenalties) this.#reducePenalty(penalty, penalty.hasSurvivedStart ? CRASH_POINTS.cleared : CRASH_POINTS.beside)
+      if (otherPenalties.length > 0) this.#report(loss, 'cleared', otherPenalties)
     }
   }
 
-  /** Two workers of a rack may be two crashes; three near each other that no job can have ended are none, and nothing is kept apart for them. */
-  #applyCommonCause (crash: Crash, { inRack: ofRack, inZone: ofZone }: UnrelatedLosses): void {
-    const isWide = ofZone >= MIN_CORRELATED_LOSSES - 1 || ofRack >= MIN_CORRELATED_LOSSES - 1
-    if (isWide) for (const { record } of crash.penalties) record.hasEarlyLoss = false
-    if (crash.isShared || (ofRack === 0 && !isWide)) return
+  /**
+   * Reduces the points of a crash if unrelated workers nearby ended at the same time. Two workers of one rack may still be two crashes. Three
+   * in a rack or zone that no common job can have ended are an outage, for which no task has to be isolated from other jobs.
+   */
+  #applyCommonCause (crash: Crash, { inRack, inZone }: UnrelatedLosses): void {
+    const isWideOutage = inZone >= MIN_CORRELATED_LOSSES - 1 || inRack >= MIN_CORRELATED_LOSSES - 1
+    if (isWideOutage) for (const { record } of crash.penalties) record.hasEarlyLoss = false
+    if (crash.isShared || (inRack === 0 && !isWideOutage)) return
     crash.isShared = true
-    for (const charge of crash.penalties) this.#reducePenalty(charge, CRASH_POINTS.shared)
+    for (const penalty of crash.penalties) this.#reducePenalty(penalty, CRASH_POINTS.shared)
     this.#report(crash.loss, 'shared', crash.penalties)
   }
 
-  #reducePenalty (charge: Penalty, points: number): void {
-    const { record, task } = charge
-    const lessPoints = Math.max(0, charge.points - points)
-    charge.points -= lessPoints
-    record.points = Math.max(0, record.points - lessPoints)
+  #reducePenalty (penalty: Penalty, points: number): void {
+    const { record, task } = penalty
+    const reduction = Math.max(0, penalty.points - points)
+    penalty.points -= reduction
+    record.points = Math.max(0, record.points - reduction)
     record.isLastLossCertain = false
     this.#options.onChanged(task.job)
   }
 
-  #report ({ instanceId }: WorkerLoss, kind: WorkerLossKind, charges: readonly Penalty[]): void {
+  #report ({ instanceId }: WorkerLoss, kind: WorkerLossKind, penalties: readonly Penalty[]): void {
     this.#options.count(kind)
-    const points = charges.slice(0, MAX_LOGGED_TASKS).map(({ task }) => `${task.key}: ${task.crashes.points}`)
-    this.#options.log.info({ instanceId, kind, points, count: charges.length }, 'worker ended under tasks')
+    const points = penalties.slice(0, MAX_LOGGED_TASKS).map(({ task }) => `${task.key}: ${task.crashes.points}`)
+    this.#options.log.info({ instanceId, kind, points, count: penalties.length }, 'worker ended under tasks')
   }
 }
 
-/** How the worker ended, as far as the worker tells. @param isSoon - soon after a start there */
-function baseLossKindOf ({ isSilent, isPlanned }: WorkerLoss, isSoon: boolean): WorkerLossKind {
+/**
+ * Classifies a loss by the state of the worker alone.
+ *
+ * @param isJustStarted - whether the task, or any task of the worker, had just started there
+ */
+function baseLossKindOf ({ isSilent, isPlanned }: WorkerLoss, isJustStarted: boolean): WorkerLossKind {
   if (isSilent) return 'silent'
-  return isPlanned && !isSoon ? 'unclear' : 'crash'
+  return isPlanned && !isJustStarted ? 'unclear' : 'crash'
 }
 
-/** Beside a task that is suspected already and had just begun, the others have probably only stood by. */
-function lossKindOf (loss: WorkerLoss, task: Task, soonTasks: ReadonlySet<Task>, suspects: ReadonlySet<Job>): WorkerLossKind {
-  const cause = baseLossKindOf(loss, soonTasks.has(task))
+/** Classifies a loss for one task. If a suspected task had just started on the worker, tasks of other jobs are probably not the cause. */
+function lossKindOf (loss: WorkerLoss, task: Task, justStartedTasks: ReadonlySet<Task>, suspects: ReadonlySet<Job>): WorkerLossKind {
+  const cause = baseLossKindOf(loss, justStartedTasks.has(task))
   return cause === 'crash' && suspects.size > 0 && !suspects.has(task.job) ? 'beside' : cause
 }
 
-/** How many workers near it ended at the same time that no job can have ended with it. */
-function countUnrelatedLosses ({ loss, justStartedJobs: soonJobs }: Crash, recent: readonly Crash[]): UnrelatedLosses {
-  const others = recent.filter((other) => other.loss !== loss && ![...other.justStartedJobs].some((job) => soonJobs.has(job)))
+/** Counts the workers of the same rack and zone that ended at the same time without a just started job in common. */
+function countUnrelatedLosses ({ loss, justStartedJobs }: Crash, recent: readonly Crash[]): UnrelatedLosses {
+  const others = recent.filter((other) => other.loss !== loss && ![...other.justStartedJobs].some((job) => justStartedJobs.has(job)))
   return {
     inRack: others.filter(({ loss: { rack } }) => rack !== undefined && rack === loss.rack).length,
     inZone: others.filter(({ loss: { availabilityZone } }) => availabilityZone !== undefined && availabilityZone === loss.availabilityZone).length
   }
 }
 
-function isSoonAfterStart ({ startedMs, placedMs }: Run, nowMs: number): boolean {
-  const beganMs = startedMs ?? placedMs
-  return beganMs !== undefined && nowMs - beganMs <= EARLY_LOSS_MS
+function hasJustStarted ({ startedMs, placedMs }: Run, nowMs: number): boolean {
+  const startMs = startedMs ?? placedMs
+  return startMs !== undefined && nowMs - startMs <= EARLY_LOSS_MS
 }
 
-/** Whether the worker is known to have lived on for a while after the run's start. */
-function hasOutlived ({ lastAnswerMs: heardMs }: WorkerLoss, { startedMs, placedMs }: Run): boolean {
-  const beganMs = startedMs ?? placedMs
-  return heardMs !== undefined && beganMs !== undefined && heardMs - beganMs > EARLY_LOSS_MS
+/** Whether the worker is known to have answered more than `SOON_MS` after the start of the run. */
+function hasSurvivedStart ({ lastAnswerMs }: WorkerLoss, { startedMs, placedMs }: Run): boolean {
+  const startMs = startedMs ?? placedMs
+  return lastAnswerMs !== undefined && startMs !== undefined && lastAnswerMs - startMs > EARLY_LOSS_MS
 }
--- a/packages/scheduler/src/lib/jobs/FleetReport.ts
+++ b/packages/scheduler/src/lib/jobs/FleetReport.ts
@@ -1,5 +1,5 @@
 /**
- * What an operator wants to know of jobs, duties and services, read from the store.
+ * Reports on jobs, duties and services for operators, read from the store.
  *
  * @module
  */
@@ -11,49 +11,57 @@
 import { DEMAND_PREFIX, decodeDemand } from '../records/serviceDemand.js'
 import { cancelKey, DUTY_PREFIX, jobKey, MACHINE_DUTY_KEY, progressKey, serviceDutyKey } from '../records/storeKeys.js'
 
-/** Who holds a duty. @public */
+/** A duty and its current holder. @public */
 export interface DutyRow { readonly duty: string, readonly holder: string, readonly fencingToken: number }
 
-/** What a service has and wants. @public */
+/** The machines that a service has and needs, and the CPU cores that it wants. @public */
 export interface ServiceRow { readonly service: string, readonly machines: number, readonly machinesNeeded: number, readonly wantedCores: number }
 
-/** A job, and why it is where it is. @public */
+/** The state of a job and the reasons for it. @public */
 export interface JobExplanation {
   readonly jobId: JobId
   readonly service: string
   readonly queue: string
-  /** The client account that handed it in, `undefined` if it came without a key. */
+  /** The client account that submitted the job; `undefined` if it was submitted without an API key. */
   readonly account: string | undefined
   readonly status: string
   readonly ageMs: number
-  /** A line for each step, and one for each reason why something waits. */
+  /** One line for each step, or for the failure of a job that has ended, then one for each reason why tasks wait. */
   readonly lines: readonly string[]
 }
 
 const MILLIS_PER_CORE = 1000
 
-/** Reads reports. @public */
+/** Builds reports for operators from the records in the store. @public */
 export class FleetReport {
   readonly #store: KeyValueStore
 
-  /** @param store - that the program writes to */
+  /** @param store - the store of the fleet */
   constructor (store: KeyValueStore) {
     this.#store = store
   }
 
-  /** @returns all duties that are held */
+  /**
+   * Lists the duties that are currently held.
+   *
+   * @returns one row for each duty
+   */
   async duties (): Promise<Result<DutyRow[], PlatformError>> {
     const listed = await this.#store.list(DUTY_PREFIX)
     return listed.map(({ items }) => items.map(({ key, value, modRevision }) =>
       ({ duty: key.slice(DUTY_PREFIX.length), holder: value.split('#')[0] ?? '', fencingToken: modRevision })))
   }
 
-  /** @returns all services whose scheduler has told its need */
+  /**
+   * Lists the services whose schedulers have published a demand record.
+   *
+   * @returns one row for each service
+   */
   async services (): Promise<Result<ServiceRow[], PlatformError>> {
     const listed = await this.#store.list(DEMAND_PREFIX)
     return listed.map(({ items }) => items.flatMap(({ key, value }) => {
       const demand = decodeDemand(key.slice(DEMAND_PREFIX.length), value)
-      // Nobody reads it, the holder of machines neither: it counts as not told.
+      // An unreadable demand record counts as missing, as it does for the holder of the machine duty.
       if (demand.err) return []
       const { service, runsByMachine, wantedMillis } = demand.val
       return { service, machines: runsByMachine.size, machinesNeeded: machinesNeeded(demand.val), wantedCores: wantedMillis / MILLIS_PER_CORE }
@@ -61,9 +69,11 @@
   }
 
   /**
-   * @param jobId - any
-   * @param wallMs - the present time of day
-   * @returns where it is and why, `undefined` if no service that has told its need knows it
+   * Explains the state of a job.
+   *
+   * @param jobId - the job to explain
+   * @param wallMs - current wall-clock time
+   * @returns the explanation; `undefined` if no service that has published a demand record has this job
    */
   async explain (jobId: JobId, wallMs: number): Promise<Result<JobExplanation | undefined, PlatformError>> {
     const services = await this.services()
@@ -80,11 +90,11 @@
       if (duties.err) return duties
       const spec = decodeJson(jobSpecSchema, record.val.value)
       if (spec.err) return unreadableRecord(record.val.key, spec.val)
-      const known = progress.val === undefined ? Ok(undefined) : decodeProgress(progress.val.value)
-      if (known.err) return unreadableRecord(progressKey(row.service, jobId), known.val)
+      const decoded = progress.val === undefined ? Ok(undefined) : decodeProgress(progress.val.value)
+      if (decoded.err) return unreadableRecord(progressKey(row.service, jobId), decoded.val)
       const quota = await this.#readQuota(spec.val)
       if (quota.err) return quota
-      return Ok(explainJob(spec.val, row, { progress: known.val, isCancelled: cancel.val !== undefined, duties: duties.val, quota: quota.val }, wallMs))
+      return Ok(explainJob(spec.val, row, { progress: decoded.val, isCancelled: cancel.val !== undefined, duties: duties.val, quota: quota.val }, wallMs))
     }
     return Ok(undefined)
   }
@@ -104,7 +114,7 @@
   readonly progress: JobProgress | undefined
   readonly isCancelled: boolean
   readonly duties: readonly DutyRow[]
-  /** `undefined` where its account has no limit, or has run nothing yet. */
+  /** `undefined` if the account has no limit, or has not run anything yet. */
   readonly quota: QuotaRecord | undefined
 }
 
@@ -126,11 +136,11 @@
   const tasks = tasksOfStep(index, progress)
   const placed = tasks.flatMap(({ runs }) => runs ?? [])
   const failures = tasks.reduce((sum, task) => sum + (task.failures ?? 0), 0)
-  const open = (step?.dependsOn ?? []).filter((earlier) => !isStepDone(spec, earlier, progress))
-  const where = [...new Set(placed.map(({ instanceId }) => instanceId))]
+  const pendingSteps = (step?.dependsOn ?? []).filter((dependency) => !isStepDone(spec, dependency, progress))
+  const workers = [...new Set(placed.map(({ instanceId }) => instanceId))]
   return [
-    `step ${index}: ${countDone(tasks)} of ${step?.taskCount ?? 0} done, ${placed.length} placed`, where.length === 0 ? '' : `on ${where.join(' ')}`,
-    failures === 0 ? '' : `${failures} runs failed`, open.length === 0 ? '' : `waits for step ${open.join(' and ')}`
+    `step ${index}: ${countDone(tasks)} of ${step?.taskCount ?? 0} done, ${placed.length} placed`, workers.length === 0 ? '' : `on ${workers.join(' ')}`,
+    failures === 0 ? '' : `${failures} runs failed`, pendingSteps.length === 0 ? '' : `waits for step ${pendingSteps.join(' and ')}`
   ].filter((part) => part !== '').join(', ')
 }
 
@@ -138,7 +148,7 @@
   return countDone(tasksOfStep(index, progress)) >= (spec.steps[index]?.taskCount ?? 0)
 }
 
-/** Those that were placed at least once. */
+/** Returns the recorded tasks of a step; tasks that were never placed are not recorded. */
 function tasksOfStep (index: number, progress: JobProgress | undefined): JobProgress['tasks'] {
   return (progress?.tasks ?? []).filter(({ key }) => Number(key.split('.')[2]) === index)
 }
--- a/packages/scheduler/src/lib/jobs/InboxReader.ts
+++ b/packages/scheduler/src/lib/jobs/InboxReader.ts
@@ -1,5 +1,5 @@
 /**
- * Takes jobs, cancels and requests from a service's inbox, and joins jobs with what earlier holders recorded of them.
+ * Reads jobs, cancellations and requests from the inbox of a service, and restores the progress that previous duty holders recorded.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 import { decodeProgress, restoreProgress } from './jobProgress.js'
 import type { JobRegistry } from './JobRegistry.js'
 
-/** What the reader works with. @public */
+/** Dependencies of an {@link InboxReader}. @public */
 export interface InboxReaderOptions {
   readonly service: string
   readonly clock: Clock
@@ -23,45 +23,53 @@
   readonly records: RecordReader
   readonly registry: JobRegistry
   readonly vacator: Pick<MachineDrainer, 'request' | 'withdraw'>
-  /** Jobs a second that are an account's share, `undefined` where that is not known. */
+  /** Returns the number of jobs per second that an account is entitled to; `undefined` if it is not known. */
   readonly weightOf: (account: AccountName) => number | undefined
-  /** Called for each run that an earlier holder placed. */
+  /** Called for each run that was placed by a previous duty holder and may still be running. */
   readonly onRunRestored: (run: Run) => void
-  /** Called when a worker's machine is down or gone. */
+  /** Called when the machine of a worker is reported as down or removed. */
   readonly onGone: (workerId: WorkerId, report: MachineLossReport) => void
 }
 
-/** The reader. @public */
+/** Applies changes of the inbox of a service to its job registry. @public */
 export class InboxReader {
   readonly #options: InboxReaderOptions
-  /** Progress as recorded by earlier holders, until its job is seen in the inbox. */
+  /** Progress records of previous duty holders whose jobs have not been read from the inbox yet. */
   readonly #recordedProgress = new Map<JobId, KeyValue>()
-  /** Jobs whose progress cannot be read. */
+  /** Jobs whose progress record cannot be decoded. */
   readonly #setAside = new Map<JobId, JobSpec>()
   readonly #shares = new AccountTokenBuckets()
 
-  /** @param options - what it works with */
+  /** @param options - dependencies */
   constructor (options: InboxReaderOptions) {
     this.#options = options
   }
 
-  /** @param items - progress of the service's jobs, as earlier holders recorded it */
+  /**
+   * Keeps the progress records of previous duty holders until their jobs are read from the inbox.
+   *
+   * @param items - progress records of the jobs of this service
+   */
   loadProgress (items: readonly KeyValue[]): void {
     const prefix = progressPrefix(this.#options.service)
     for (const item of items) this.#recordedProgress.set(item.key.slice(prefix.length) as JobId, item)
   }
 
   /**
-   * Tells whether a job is left as it is. What became of its tasks is not known, so that one which is done or running could be started
-   * again: it is neither started nor stopped until it is cancelled.
+   * Returns whether a job is left alone because its progress record cannot be decoded. Its tasks could be done or running, and starting them
+   * would run them twice, so they are neither started nor stopped until the job is cancelled.
    *
-   * @param jobId - any
+   * @param jobId - the job to look up
    */
   isSetAside (jobId: JobId): boolean {
     return this.#setAside.has(jobId)
   }
 
-  /** @param change - of the inbox */
+  /**
+   * Applies a change of the inbox.
+   *
+   * @param change - records that were written or removed
+   */
   applyChange ({ changed, removed }: PrefixChange): void {
     const { service, vacator } = this.#options
     const prefix = inboxPrefix(service)
@@ -69,8 +77,8 @@
       const subject = parseInboxKey(item.key, prefix)
       if (subject.kind === 'vacate') vacator.request(subject.machineId, item.value)
     }
-    for (const arrival of this.#newJobs(changed)) this.#addJob(arrival)
-    // These last: a list may bring them before the jobs that they are about.
+    for (const spec of this.#newJobs(changed)) this.#addJob(spec)
+    // Cancellations and reports of lost machines come last: a listing may return them before the jobs that they refer to.
     for (const item of changed) {
       const subject = parseInboxKey(item.key, prefix)
       if (subject.kind === 'cancel' && item.value === CANCEL_VALUE) this.#cancelJob(subject.jobId)
@@ -87,14 +95,14 @@
     if (report !== undefined) this.#options.onGone(workerId, report)
   }
 
-  /** New jobs in the order in which they were accepted; a list of the inbox has them by id. */
+  /** Returns new jobs in the order in which they were accepted; a listing of the inbox sorts them by id. */
   #newJobs (changed: readonly KeyValue[]): JobSpec[] {
-    const { service, registry: book, records } = this.#options
+    const { service, registry, records } = this.#options
     const specs = changed.flatMap((item) => {
       const subject = parseInboxKey(item.key, inboxPrefix(service))
-      if (subject.kind !== 'job' || book.jobs.has(subject.jobId) || this.#setAside.has(subject.jobId)) return []
+      if (subject.kind !== 'job' || registry.jobs.has(subject.jobId) || this.#setAside.has(subject.jobId)) return []
       const spec = records.read(item, (text) => decodeJson(jobSpecSchema, text))
-      // A record under another job's key is nobody's.
+      // A record stored under the key of another job is ignored.
       return spec?.jobId === subject.jobId ? [spec] : []
     })
     return specs.sort((a, b) => a.submittedMs - b.submittedMs)
@@ -106,33 +114,33 @@
   }
 
   #addJob (spec: JobSpec): void {
-    const { registry: book, clock, log, records, onRunRestored: onPlaced } = this.#options
+    const { registry, clock, log, records, onRunRestored } = this.#options
     const { jobId } = spec
-    const recorded = this.#recordedProgress.get(jobId)
+    const progressRecord = this.#recordedProgress.get(jobId)
     this.#recordedProgress.delete(jobId)
-    const progress = recorded === undefined ? undefined : records.read(recorded, decodeProgress)
-    if (recorded !== undefined && progress === undefined) {
+    const progress = progressRecord === undefined ? undefined : records.read(progressRecord, decodeProgress)
+    if (progressRecord !== undefined && progress === undefined) {
       this.#setAside.set(jobId, spec)
-      log.warn({ jobId, queue: spec.queue, key: recorded.key, revision: recorded.modRevision }, 'job set aside: what became of its tasks cannot be read')
+      log.warn({ jobId, queue: spec.queue, key: progressRecord.key, revision: progressRecord.modRevision }, 'job set aside: its progress record cannot be decoded')
       return
     }
     const job = createJob(spec)
     job.isOverShare = this.#isExcess(spec)
     if (job.isOverShare) log.info({ jobId, account: spec.owner?.account }, 'job is beyond its account\'s share: others go first')
-    book.jobs.set(jobId, job)
+    registry.jobs.set(jobId, job)
     if (progress === undefined) return
-    for (const run of restoreProgress(job, progress, clock.monotonicMs())) onPlaced(run)
+    for (const run of restoreProgress(job, progress, clock.monotonicMs())) onRunRestored(run)
   }
 
   #cancelJob (jobId: JobId): void {
-    const { registry: book } = this.#options
+    const { registry } = this.#options
     const setAside = this.#setAside.get(jobId)
     if (setAside !== undefined) {
-      // Its runs are stopped as those that nobody recorded.
+      // The tracker then stops its runs as unrecorded ones.
       this.#setAside.delete(jobId)
-      book.jobs.set(jobId, createJob(setAside))
+      registry.jobs.set(jobId, createJob(setAside))
     }
-    const job = book.jobs.get(jobId)
-    if (job !== undefined && !hasEnded(job)) book.endJob(job, 'cancelled')
+    const job = registry.jobs.get(jobId)
+    if (job !== undefined && !hasEnded(job)) registry.endJob(job, 'cancelled')
   }
 }
--- a/packages/scheduler/src/lib/jobs/JobApi.ts
+++ b/packages/scheduler/src/lib/jobs/JobApi.ts
@@ -1,7 +1,7 @@
 /**
- * What an entry host does for clients: takes jobs in, cancels them, tells their state and how many wait.
+ * Serves the job requests of clients on an entry host: submits and cancels jobs, returns their status, and counts waiting jobs.
  *
- * Every answer rests on a linearizable read or an acknowledged write of the store; nothing is kept here.
+ * Every answer is based on a linearizable read or an acknowledged write of the store; the entry host itself keeps no job state.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 import type { RecordReader } from '../records/RecordReader.js'
 import { CANCEL_VALUE, cancelKey, inboxPrefix, jobKey, parseInboxKey, progressKey, progressPrefix, waitingKey } from '../records/storeKeys.js'
 
-/** What the desk works with. @public */
+/** Dependencies of a {@link JobApi}. @public */
 export interface JobApiOptions {
   readonly store: MonitoredStore
   readonly clock: Clock
@@ -23,48 +23,53 @@
   readonly records: RecordReader
 }
 
-/** `refused`: surely not written by this try, now or later. `unknown`: it may be. `taken`: the id is another account's job. @public */
+/**
+ * Outcome of a submission. `refused`: this request has not written the job and never will. `unknown`: the job may or may not be written.
+ * `taken`: the id belongs to a job of another account.
+ *
+ * @public
+ */
 export type SubmitOutcome = 'accepted' | 'refused' | 'unknown' | 'taken'
-/** `unavailable`: the store gave no answer in time, or what it has of the job cannot be read. @public */
+/** Status of a job. `unavailable`: the store did not answer in time, or its record of the job cannot be decoded. @public */
 export type StatusOutcome = JobStatus | 'no-such-job' | 'unavailable'
-/** What became of a cancel. @public */
+/** Outcome of a cancellation; `unavailable` as in {@link StatusOutcome}. @public */
 export type CancelOutcome = 'accepted' | 'no-such-job' | 'unavailable'
-/** How many jobs wait. @public */
+/** Number of waiting jobs; `unavailable` if the store did not answer in time. @public */
 export type WaitingOutcome = number | 'unavailable'
 
-/** Kept short of the deadline, so that the answer still arrives. */
+/** Time left before the deadline of the client, so that the answer still arrives. */
 const DEADLINE_MARGIN_MS = 150
-/** While the store says that it did nothing, a request is tried for so long: overload passes or it does not. */
+/** How long a request is retried while the store rejects it without effect; an overload that lasts longer is unlikely to pass in time. */
 const REFUSED_RETRY_LIMIT_MS = 400
 const FIRST_RETRY_DELAY_MS = 40
-/** So many lost answers, and another host may do better. */
+/** After so many lost answers the request fails, since another host may do better. */
 const MAX_LOST_ANSWERS = 2
 const MAX_RETRY_DELAY_MS = 250
-/** A count of waiting jobs that is older is made anew from the records: its scheduler is being replaced. */
+/** Older counts are recomputed from the job records: the scheduler that publishes them is being replaced. */
 const MAX_COUNT_AGE_MS = 2500
 
 const STORE_SILENT: PlatformError = { kind: 'unavailable', detail: 'the store has not answered for a while and was not asked' }
 
-const RECORD_UNREADABLE: PlatformError = { kind: 'unavailable', detail: 'what the store has of the job cannot be read' }
+const RECORD_UNREADABLE: PlatformError = { kind: 'unavailable', detail: 'the record of the job in the store cannot be decoded' }
 
 const waitingSchema = z.object({ atMs: z.number(), counts: z.record(z.string(), z.number()) })
 
-/** The desk. @public */
+/** Submits, cancels, looks up and counts jobs for clients. @public */
 export class JobApi {
   readonly #options: JobApiOptions
 
-  /** @param options - what it works with */
+  /** @param options - dependencies */
   constructor (options: JobApiOptions) {
     this.#options = options
   }
 
   /**
-   * Takes a job in. The same job again is the same job: the write happens only where there is none. What cannot be read is none.
+   * Submits a job. Submitting it again is idempotent: the job is written only if it does not exist. A record that cannot be decoded is replaced.
    *
    * @param spec - the job
-   * @param service - whose workers run it
-   * @param deadlineMs - monotonic, when the client stops waiting
-   * @returns what became of it
+   * @param service - the service whose workers run the job
+   * @param deadlineMs - monotonic time at which the client stops waiting
+   * @returns the outcome
    */
   async submit (spec: JobSpec, service: string, deadlineMs: number): Promise<SubmitOutcome> {
     const { log } = this.#options
@@ -79,9 +84,9 @@
 
   #submitOutcome ({ jobId, owner }: JobSpec, service: string, { result, mayHaveEffect }: RetryResult<TransactionOutcome>): SubmitOutcome {
     if (result.err) return mayHaveEffect ? 'unknown' : 'refused'
-    const found = result.val.committed ? undefined : result.val.current.find(({ key }) => key === jobKey(service, jobId))
-    const known = found === undefined ? undefined : this.#readJob(found)
-    return known === undefined || isOwnedBy(restrictedOwner(known), owner) ? 'accepted' : 'taken'
+    const item = result.val.committed ? undefined : result.val.current.find(({ key }) => key === jobKey(service, jobId))
+    const existingSpec = item === undefined ? undefined : this.#readJob(item)
+    return existingSpec === undefined || isOwnedBy(restrictedOwner(existingSpec), owner) ? 'accepted' : 'taken'
   }
 
   async #writeJob (spec: JobSpec, service: string, deadlineMs: number): Promise<RetryResult<TransactionOutcome>> {
@@ -91,12 +96,12 @@
       store.transact({ conditions: [{ key, modRevision }], puts: [{ key, value: JSON.stringify(spec) }], removals: [] }))
     const written = await put(0)
     if (written.result.err || written.result.val.committed) return written
-    const found = written.result.val.current.find((item) => item.key === key)
-    if (found === undefined || this.#readJob(found) !== undefined) return written
-    const replaced = await put(found.modRevision)
-    if (replaced.result.err || replaced.result.val.committed) return replaced
-    const isThere = replaced.result.val.current.some((item) => item.key === key && this.#readJob(item) !== undefined)
-    return isThere ? replaced : { ...replaced, result: Err(RECORD_UNREADABLE), mayHaveEffect: true }
+    const existing = written.result.val.current.find((item) => item.key === key)
+    if (existing === undefined || this.#readJob(existing) !== undefined) return written
+    const replacement = await put(existing.modRevision)
+    if (replacement.result.err || replacement.result.val.committed) return replacement
+    const hasReadableJob = replacement.result.val.current.some((item) => item.key === key && this.#readJob(item) !== undefined)
+    return hasReadableJob ? replacement : { ...replacement, result: Err(RECORD_UNREADABLE), mayHaveEffect: true }
   }
 
   #readJob (item: KeyValue): JobSpec | undefined {
@@ -104,15 +109,17 @@
   }
 
   /**
-   * @param jobId - any
-   * @param services - where it may be, the likeliest first
-   * @param deadlineMs - monotonic
-   * @param caller - who asks; another account's job is not there for it
-   * @returns its state
+   * Returns the status of a job.
+   *
+   * @param jobId - the job to look up
+   * @param services - services that may have the job, the most likely one first
+   * @param deadlineMs - monotonic time at which the client stops waiting
+   * @param caller - who asks; jobs of other accounts are reported as `no-such-job`
+   * @returns the status, or why there is none
    */
   async status (jobId: JobId, services: readonly string[], deadlineMs: number, caller?: JobOwner): Promise<StatusOutcome> {
-    const [likeliest, ...others] = services
-    for (const service of likeliest === undefined ? [] : [likeliest, ...others]) {
+    const [mostLikely, ...others] = services
+    for (const service of mostLikely === undefined ? [] : [mostLikely, ...others]) {
       const status = await this.#statusIn(jobId, service, deadlineMs, caller)
       if (status !== 'no-such-job') return status
     }
@@ -148,11 +155,13 @@
   }
 
   /**
-   * @param jobId - any
-   * @param services - where it may be, the likeliest first
-   * @param deadlineMs - monotonic
-   * @param caller - who cancels; another account's job is not there for it
-   * @returns what became of it
+   * Requests the cancellation of a job; the scheduler of its service then stops the runs.
+   *
+   * @param jobId - the job to cancel
+   * @param services - services that may have the job, the most likely one first
+   * @param deadlineMs - monotonic time at which the client stops waiting
+   * @param caller - who cancels; jobs of other accounts are reported as `no-such-job`
+   * @returns the outcome
    */
   async cancel (jobId: JobId, services: readonly string[], deadlineMs: number, caller?: JobOwner): Promise<CancelOutcome> {
     const { store, log } = this.#options
@@ -161,24 +170,31 @@
       if (job.result.err) return this.#reportUnavailable(jobId, job.result.val)
       if (job.result.val === undefined) continue
       const spec = this.#readJob(job.result.val)
-      // One that cannot be read may be anybody's, and has to be stopped by somebody.
+      // The owner of an undecodable job is unknown, so any caller may cancel it; otherwise nobody could stop it.
       if (spec !== undefined && !isOwnedBy(restrictedOwner(spec), caller)) return this.#reportNotOwned(jobId, caller)
       const put = { conditions: [], puts: [{ key: cancelKey(service, jobId), value: CANCEL_VALUE }], removals: [] }
       const written = await this.#retry(deadlineMs, () => store.transact(put))
       if (written.result.err) return this.#reportUnavailable(jobId, written.result.val)
-      log.info({ jobId, service }, 'cancel taken in')
+      log.info({ jobId, service }, 'job cancellation accepted')
       return 'accepted'
     }
-    log.info({ jobId, services }, 'cancel of a job that does not exist')
+    log.info({ jobId, services }, 'job cancellation refused: no such job')
     return 'no-such-job'
   }
 
-  /** @param queue - by name @param service - its service @param deadlineMs - monotonic @returns how many of its jobs have not begun */
+  /**
+   * Counts the jobs of a queue of which no worker has started a run yet; jobs with a schedule are not counted.
+   *
+   * @param queue - name of the queue
+   * @param service - the service of the queue
+   * @param deadlineMs - monotonic time at which the client stops waiting
+   * @returns the number of waiting jobs, or `unavailable`
+   */
   async countWaiting (queue: string, service: string, deadlineMs: number): Promise<WaitingOutcome> {
     const { store, clock, log, records } = this.#options
     const read = await this.#retry(deadlineMs, () => store.get(waitingKey(service)))
     if (read.result.err) {
-      log.warn({ queue, error: read.result.val }, 'count of waiting jobs not read')
+      log.warn({ queue, error: read.result.val }, 'reading the published count of waiting jobs failed')
       return 'unavailable'
     }
     const counts = read.result.val === undefined ? undefined : records.read(read.result.val, (text) => decodeJson(waitingSchema, text))
@@ -192,49 +208,49 @@
       this.#retry(deadlineMs, () => store.list(inboxPrefix(service))), this.#retry(deadlineMs, () => store.list(progressPrefix(service)))
     ])
     if (inbox.result.err || progress.result.err) {
-      log.warn({ queue, service }, 'waiting jobs not counted')
+      log.warn({ queue, service }, 'counting waiting jobs from their records failed')
       return 'unavailable'
     }
-    // A job that was placed has a record, and still waits until a worker has begun with it.
-    const begun = new Set(progress.result.val.items.filter((item) => records.read(item, decodeProgress)?.status !== 'queued')
+    // A placed job has a progress record, but still waits until a worker has started one of its runs.
+    const startedJobs = new Set(progress.result.val.items.filter((item) => records.read(item, decodeProgress)?.status !== 'queued')
       .map(({ key }) => key.slice(progressPrefix(service).length)))
     return inbox.result.val.items.filter((item) => {
       const subject = parseInboxKey(item.key, inboxPrefix(service))
-      if (subject.kind !== 'job' || begun.has(subject.jobId)) return false
+      if (subject.kind !== 'job' || startedJobs.has(subject.jobId)) return false
       const spec = this.#readJob(item)
       return spec?.queue === queue && spec.schedule === undefined
     }).length
   }
 
   /**
-   * Tries until an answer. A store that is silent is not asked: the client is told at once to come back, and finds another host.
-   * What a lost answer leaves open is asked again once; then the client is told, for the same reason.
+   * Calls the store and retries until it answers or time runs out. A store known to be silent is not called: the request fails at once, so that
+   * the client can retry on another host. After a lost answer the call is repeated once, then the request fails for the same reason.
    */
   async #retry<T> (deadlineMs: number, call: () => Promise<Result<T, PlatformError>>): Promise<RetryResult<T>> {
     const { clock, store } = this.#options
-    const beganMs = clock.monotonicMs()
-    if (store.isUnresponsive(beganMs)) return { result: Err(STORE_SILENT), mayHaveEffect: false, tries: 0 }
-    let lost = 0
-    let pauseMs = FIRST_RETRY_DELAY_MS
+    const startMs = clock.monotonicMs()
+    if (store.isUnresponsive(startMs)) return { result: Err(STORE_SILENT), mayHaveEffect: false, tries: 0 }
+    let lostAnswers = 0
+    let delayMs = FIRST_RETRY_DELAY_MS
     for (let tries = 1; ; tries++) {
       const result = await call()
-      const mayHaveEffect = lost > 0
+      const mayHaveEffect = lostAnswers > 0
       if (result.ok) return { result, mayHaveEffect, tries }
-      if (result.val.kind === 'unknown-effect') lost++
+      if (result.val.kind === 'unknown-effect') lostAnswers++
       const nowMs = clock.monotonicMs()
-      const giveUpMs = lost > 0 ? deadlineMs - DEADLINE_MARGIN_MS : beganMs + REFUSED_RETRY_LIMIT_MS
-      const isHopeless = lost >= MAX_LOST_ANSWERS || store.isUnresponsive(nowMs) || nowMs + pauseMs >= Math.min(giveUpMs, deadlineMs - DEADLINE_MARGIN_MS)
-      if (isHopeless) return { result, mayHaveEffect: lost > 0, tries }
-      await delay(pauseMs)
-      pauseMs = Math.min(MAX_RETRY_DELAY_MS, pauseMs * 2)
+      const retryUntilMs = lostAnswers > 0 ? deadlineMs - DEADLINE_MARGIN_MS : startMs + REFUSED_RETRY_LIMIT_MS
+      const isLastTry = lostAnswers >= MAX_LOST_ANSWERS || store.isUnresponsive(nowMs) || nowMs + delayMs >= Math.min(retryUntilMs, deadlineMs - DEADLINE_MARGIN_MS)
+      if (isLastTry) return { result, mayHaveEffect: lostAnswers > 0, tries }
+      await delay(delayMs)
+      delayMs = Math.min(MAX_RETRY_DELAY_MS, delayMs * 2)
     }
   }
 }
 
-/** Who alone may ask for a job; `undefined` if everybody may. */
+/** Returns the only client account that may access a job; `undefined` if every account may. */
 const restrictedOwner = ({ owner, isPublic }: JobSpec): JobOwner | undefined => isPublic ? undefined : owner
 
-/** What an operator needs to know of a step to see why it waits. */
+/** Describes the requirements of a step for the log, so that operators can see why it waits. */
 function describeStep (step: StepSpec): string {
   const traits = [
     step.isLasting ? 'lasting' : '', step.isFiller ? 'filler' : '', step.isGang ? 'gang' : '', step.isCheckpointing ? 'checkpointing' : '',
@@ -245,4 +261,5 @@
   return [`${step.taskCount} x ${step.cpuMillis} mcpu ${step.memoryMb} MB ${step.estimateMs} ms`, ...traits].join(', ')
 }
 
+/** Result of a call that may have been retried; `mayHaveEffect` tells whether a try without an answer may have taken effect. */
 interface RetryResult<T> { readonly result: Result<T, PlatformError>, readonly mayHaveEffect: boolean, readonly tries: number }
--- a/packages/scheduler/src/lib/jobs/JobRegistry.ts
+++ b/packages/scheduler/src/lib/jobs/JobRegistry.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps a scheduler's jobs, and applies what becomes known of runs to tasks and jobs.
+ * Holds the jobs of a scheduler, and updates tasks and jobs as their runs end.
  *
  * @module
  */
@@ -9,61 +9,67 @@
 import type { EventLog } from '../duties/EventLog.js'
 import { runKey, type WorkerLink } from '../workers/WorkerLink.js'
 
-/** Why a run is over: as its worker reported, or as was concluded without it. @public */
+/** How a run ended: as its worker reported, or as the scheduler concluded without a report. @public */
 export type RunOutcome = RunEnd | 'not-started' | 'lost'
 
-/** Why a run is taken for lost, so that the logs tell one way of losing it from the others. @public */
+/** Why a run is considered lost; logged to distinguish the ways in which runs are lost. @public */
 export interface LossEvidence {
   readonly reason: string
-  /** For how long its worker had not answered this holder; what former holders heard is not counted. */
+  /** How long the worker has not answered this duty holder; answers to previous holders are not counted. */
   readonly silentMs: number
-  /** Since its placement, `undefined` where an earlier holder made it. */
+  /** Time since the run was placed; `undefined` if a previous duty holder placed it. */
   readonly placedAgoMs?: number | undefined
-  /** Runs of other jobs on its worker at that time. */
+  /** Number of runs of other jobs on the worker at that time. */
   readonly runsOfOtherJobs?: number
 }
 
-/** What is known of a run's end besides its outcome. @public */
+/** Details of the end of a run besides its outcome. @public */
 export interface RunEndDetails {
-  /** That the run left. */
+  /** The checkpoint that the run reported, empty if there is none. */
   readonly checkpoint?: string
-  /** Of one that is lost. */
+  /** Why the run is considered lost; set only for lost runs. */
   readonly evidence?: LossEvidence
 }
 
-/** What the book needs of its scheduler. @public */
+/** Dependencies of a {@link JobRegistry}. @public */
 export interface JobRegistryOptions {
   readonly clock: Clock
   readonly log: EventLog
   readonly times: RunTimeEstimator
-  /** Failed runs after which a task of this job has failed. */
+  /** Returns the number of failed runs of one task after which its job fails. */
   readonly maxAttemptsOf: (job: Job) => number
-  /** Where a run is. */
+  /** Returns the link to the worker on which a run was placed. */
   readonly linkOf: (run: Run) => WorkerLink | undefined
-  /** Called for each job whose progress is to be written. */
+  /** Called for each job whose progress record has to be written. */
   readonly onChanged: (job: Job) => void
-  /** Called for each run that is surely over. */
+  /** Called for each run that has definitely ended. */
   readonly onRunClosed: (run: Run) => void
-  /** Called for each run that is not needed any more. */
+  /** Called for each run that is no longer needed and has to be stopped. */
   readonly onUnneeded: (run: Run) => void
 }
 
-/** The book. @public */
+/** Holds the jobs of a scheduler and applies the outcomes of their runs. @public */
 export class JobRegistry {
   readonly jobs = new Map<JobId, Job>()
   readonly #options: JobRegistryOptions
 
-  /** @param options - its scheduler's part */
+  /** @param options - dependencies */
   constructor (options: JobRegistryOptions) {
     this.#options = options
   }
 
-  /** Takes note that a run is over. @param run - that was placed @param outcome - how @param details - what else is known */
+  /**
+   * Removes a run that has ended and applies its outcome to its task and job.
+   *
+   * @param run - the run that ended
+   * @param outcome - how it ended
+   * @param details - checkpoint, and evidence for a lost run
+   */
   closeRun (run: Run, outcome: RunOutcome, { checkpoint = '', evidence }: RunEndDetails = {}): void {
     const { task } = run
-    const at = task.runs.indexOf(run)
-    if (at < 0) return
-    task.runs.splice(at, 1)
+    const index = task.runs.indexOf(run)
+    if (index < 0) return
+    task.runs.splice(index, 1)
     this.#options.onRunClosed(run)
     this.#options.linkOf(run)?.runs.delete(runKey(run))
     if (checkpoint !== '' && stepOf(task).isCheckpointing) task.checkpoint = checkpoint
@@ -75,20 +81,30 @@
     this.#options.onChanged(job)
   }
 
-  /** @param link - of the worker @param end - as listed @returns whether it was new */
+  /**
+   * Applies the end of a run that a worker reported, unless it was applied before.
+   *
+   * @param link - the link to the worker
+   * @param end - the reported end
+   * @returns whether the report was new
+   */
   recordEndReport (link: WorkerLink, end: EndReport): boolean {
     if (end.sequence <= link.processedSequence) return false
     link.processedSequence = end.sequence
     const run = link.runs.get(runKey(end))
     if (run === undefined) {
-      this.#options.log.debug({ taskKey: end.taskKey, runNumber: end.runNumber, end: end.end, instanceId: link.instance.instanceId }, 'end of a run that is not ours')
+      this.#options.log.debug({ taskKey: end.taskKey, runNumber: end.runNumber, end: end.end, instanceId: link.instance.instanceId }, 'worker reported the end of a run that this scheduler does not track')
       return true
     }
     this.closeRun(run, end.end, { checkpoint: end.checkpoint })
     return true
   }
 
-  /** Ends the job of a task that ends the workers which start it. @param task - of a job that has not ended */
+  /**
+   * Fails the job of a task that crashes the workers which start it.
+   *
+   * @param task - a task of a job that has not ended
+   */
   giveUpTask (task: Task): void {
     const { job, key, crashes, avoidedInstances: avoid } = task
     this.#options.log.warn({ jobId: job.spec.jobId, taskKey: key, points: crashes.points, starts: task.lastRunNumber, lastOn: [...avoid].at(-1) }, 'task given up: it ends the workers that start it')
@@ -96,7 +112,12 @@
     this.endJob(job, 'failed')
   }
 
-  /** Ends a job: what still runs is stopped. @param job - that has not ended @param status - its end */
+  /**
+   * Ends a job and stops its remaining runs.
+   *
+   * @param job - a job that has not ended
+   * @param status - its final status
+   */
   endJob (job: Job, status: JobStatus): void {
     job.status = status
     job.endedMs = this.#options.clock.wallMs()
@@ -131,7 +152,7 @@
 
   #markDone (task: Task): void {
     task.isDone = true
-    for (const other of [...task.runs]) this.#options.onUnneeded(other)
+    for (const run of [...task.runs]) this.#options.onUnneeded(run)
   }
 
   #updateWorkerHealth (run: Run, outcome: RunOutcome): void {
@@ -142,8 +163,8 @@
       if (run.startedMs !== undefined) this.#options.times.addSample(stepOf(run.task), nowMs - run.startedMs)
     }
     if (outcome !== 'failed' || link === undefined || stepOf(run.task).isLasting) return
-    const failedElsewhere = allTasks(run.task.job).some((task) => [...task.avoidedInstances].some((instanceId) => instanceId !== run.instanceId))
-    if (link.health.failed(run.task.job.spec.jobId, failedElsewhere, nowMs)) {
+    const hasFailedElsewhere = allTasks(run.task.job).some((task) => [...task.avoidedInstances].some((instanceId) => instanceId !== run.instanceId))
+    if (link.health.failed(run.task.job.spec.jobId, hasFailedElsewhere, nowMs)) {
       this.#options.log.warn({ instanceId: run.instanceId, taskKey: run.taskKey }, 'worker set apart: runs of several jobs failed there')
     }
   }
--- a/packages/scheduler/src/lib/jobs/RunStarter.ts
+++ b/packages/scheduler/src/lib/jobs/RunStarter.ts
@@ -1,5 +1,5 @@
 /**
- * Sends what was decided to workers, once it is durable: starts of runs, and stops that a next holder has to know of.
+ * Sends orders to workers once the decisions behind them are durable: starts of runs, and stops that the next duty holder has to know of.
  *
  * @module
  */
@@ -7,37 +7,41 @@
 import type { WorkerLink } from '../workers/WorkerLink.js'
 import type { JobRegistry } from './JobRegistry.js'
 
-/** What the starter works with. @public */
+/** Dependencies of a {@link RunStarter}. @public */
 export interface RunStarterOptions {
   readonly registry: JobRegistry
-  /** Resolves with true once all that was decided so far is durable, with false if it never will be. */
+  /** Resolves with `true` once all decisions made so far are durable, with `false` if they never will be. */
   readonly whenFlushed: () => Promise<boolean>
   readonly linkOf: (run: Run) => WorkerLink | undefined
-  /** Stops a run of which nobody need know before. */
+  /** Stops a run without recording the stop first. */
   readonly stopRun: (run: Run) => void
-  /** Called for each job whose progress is to be written at once. */
+  /** Called for each job whose progress record has to be written at once. */
   readonly onChanged: (job: Job) => void
 }
 
-/** The starter. @public */
+/** Starts placed runs, and stops runs to evict them from a machine. @public */
 export class RunStarter {
   readonly #options: RunStarterOptions
 
-  /** @param options - what it works with */
+  /** @param options - dependencies */
   constructor (options: RunStarterOptions) {
     this.#options = options
   }
 
-  /** Starts runs once their placement is durable. @param runs - in phase `recording` */
+  /**
+   * Starts runs once their placement is durable.
+   *
+   * @param runs - runs in phase `recording`
+   */
   async start (runs: readonly Run[]): Promise<void> {
-    const { registry: book, whenFlushed: flushed, linkOf } = this.#options
-    if (!await flushed()) return
+    const { registry, whenFlushed, linkOf } = this.#options
+    if (!await whenFlushed()) return
     for (const run of runs) {
       const link = linkOf(run)
       const isWanted = run.phase === 'recording' && run.task.runs.includes(run)
       if (!isWanted) continue
       if (link?.takesWork !== true || !stillFits(link, run)) {
-        book.closeRun(run, 'not-started')
+        registry.closeRun(run, 'not-started')
         continue
       }
       run.phase = 'starting'
@@ -48,16 +52,16 @@
   }
 
   /**
-   * Stops a run so that its machine becomes empty. Where only so many tasks of a step may be away, that is written down first:
-   * the worker goes on listing the run until it is over, and a next holder would take another task of the step away meanwhile.
+   * Stops a run so that its machine becomes empty. If the step limits how many of its tasks may be away (`maxAway`), the stop is recorded
+   * first: the worker lists the run until it has ended, and the next duty holder would otherwise evict another task of the step meanwhile.
    *
-   * @param run - to be taken away
+   * @param run - the run to evict
    */
   async evict (run: Run): Promise<void> {
-    const { stopRun: discard, whenFlushed: flushed, linkOf, onChanged } = this.#options
-    if (stepOf(run.task).maxAway === undefined) return discard(run)
+    const { stopRun, whenFlushed, linkOf, onChanged } = this.#options
+    if (stepOf(run.task).maxAway === undefined) return stopRun(run)
     run.phase = 'stopping'
     onChanged(run.task.job)
-    if (await flushed()) await linkOf(run)?.stop(run)
+    if (await whenFlushed()) await linkOf(run)?.stop(run)
   }
 }
--- a/packages/scheduler/src/lib/jobs/RunTracker.ts
+++ b/packages/scheduler/src/lib/jobs/RunTracker.ts
@@ -1,5 +1,5 @@
 /**
- * Follows runs from their start to their end, by what workers report and answer.
+ * Updates the state of runs from their start to their end, using the reports and answers of workers.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { LossEvidence, JobRegistry } from './JobRegistry.js'
 import { runKey, type WorkerLink } from '../workers/WorkerLink.js'
 
-/** What the tracker works with. @public */
+/** Dependencies of a {@link RunTracker}. @public */
 export interface RunTrackerOptions {
   readonly orders: RunOrders
   readonly fencingToken: number
@@ -18,50 +18,60 @@
   readonly log: EventLog
   readonly registry: JobRegistry
   readonly linkOf: (run: Run) => WorkerLink | undefined
-  /** Whether a job's runs are left alone, since what was recorded of them cannot be read. */
+  /** Returns whether the runs of a job are left alone because its progress record cannot be decoded. */
   readonly isSetAside: (jobId: JobId) => boolean
-  /** Called for each job that left the queue, or of which something was learned that is to be kept. */
+  /** Called for each job that left the queue, or whose progress record has to be written. */
   readonly onChanged: (job: Job) => void
-  /** Called when a ticket was refused. */
+  /** Called when a worker refused the ticket of a run. */
   readonly onTicketRefused: (run: Run) => void
   readonly count: (name: string, label?: string) => void
 }
 
-/** A worker that refuses a start for want of room or health is left alone so long, one that does not answer longer. */
+/** How long a worker gets no new starts after it refused one because it lacks room or is unhealthy; longer if it did not answer. */
 const REFUSAL_BACKOFF_MS = 300
 const UNANSWERED_BACKOFF_MS = 900
 const NOT_LISTED: LossEvidence = { reason: 'its worker does not list it', silentMs: 0 }
 
-/** The tracker. @public */
+/** Reconciles the recorded runs of each worker with the runs that the worker reports. @public */
 export class RunTracker {
   readonly #options: RunTrackerOptions
 
-  /** @param options - what it works with */
+  /** @param options - dependencies */
   constructor (options: RunTrackerOptions) {
     this.#options = options
   }
 
-  /** @param link - whose report @param report - both lists @param askedMs - monotonic, when the worker was asked */
+  /**
+   * Applies a report of a worker: closes runs that ended, updates listed ones, and stops runs that have no record.
+   *
+   * @param link - the link to the worker
+   * @param report - the runs that ended, and the ones still running
+   * @param askedMs - monotonic time at which the report was requested
+   */
   applyReport (link: WorkerLink, report: HoldReport, askedMs: number): void {
-    const { registry: book, clock, log, orders, fencingToken, isSetAside } = this.#options
+    const { registry, clock, log, orders, fencingToken, isSetAside } = this.#options
     const nowMs = clock.monotonicMs()
-    for (const end of report.ended) book.recordEndReport(link, end)
+    for (const end of report.ended) registry.recordEndReport(link, end)
     const running = new Map(report.running.map((run) => [runKey(run), run]))
     for (const [key, run] of [...link.runs]) {
-      const seen = running.get(key)
-      if (seen !== undefined) this.#updateListedRun(run, seen.percent, seen.load, seen.checkpoint, nowMs)
+      const listedRun = running.get(key)
+      if (listedRun !== undefined) this.#updateListedRun(run, listedRun.percent, listedRun.load, listedRun.checkpoint, nowMs)
       else if (!report.hasMoreEnds) this.#closeUnlistedRun(run, askedMs)
     }
-    for (const [key, seen] of running) {
-      if (link.runs.has(key) || isSetAside(jobIdOfTask(seen.taskKey))) continue
-      // Placements are written before starts, so this is a run that was given up; it is stopped again.
-      log.warn({ taskKey: seen.taskKey, runNumber: seen.runNumber, instanceId: link.instance.instanceId }, 'a run that is not recorded is stopped')
-      void orders.stop(link.instance, seen, fencingToken)
+    for (const [key, listedRun] of running) {
+      if (link.runs.has(key) || isSetAside(jobIdOfTask(listedRun.taskKey))) continue
+      // Placements are recorded before starts are sent, so the run was abandoned. It is stopped once more.
+      log.warn({ taskKey: listedRun.taskKey, runNumber: listedRun.runNumber, instanceId: link.instance.instanceId }, 'stopping a run that the worker lists but that has no record')
+      void orders.stop(link.instance, listedRun, fencingToken)
     }
     for (const { run, percent } of planPaces([...link.runs.values()])) void this.#pace(link, run, percent)
   }
 
-  /** @param run - whose start was confirmed */
+  /**
+   * Marks a run as running.
+   *
+   * @param run - the run whose start was confirmed
+   */
   started (run: Run): void {
     if (run.phase !== 'starting') return
     run.phase = 'running'
@@ -70,21 +80,31 @@
     this.#options.count('runs_started')
   }
 
-  /** @param link - of the worker @param run - that did not start, or may have @param error - why */
+  /**
+   * Handles a start that failed or whose outcome is unknown: pauses further starts on the worker if needed, and stops or closes the run.
+   *
+   * @param link - the link to the worker
+   * @param run - the run that did not start; it may have started if `run.isUncertain`
+   * @param error - why the start failed
+   */
   handleStartFailure (link: WorkerLink, run: Run, error: RunOrderError): void {
-    const { log, clock, registry: book, count, onTicketRefused: onNoTicket } = this.#options
+    const { log, clock, registry, count, onTicketRefused } = this.#options
     const { taskKey, runNumber, instanceId, isUncertain } = run
     log.info({ taskKey, runNumber, instanceId, error, isUncertain }, 'run not started')
     count('starts_refused', error.kind)
     const nowMs = clock.monotonicMs()
     if (error.kind === 'unhealthy' || error.kind === 'no-room') link.refusingUntilMs = nowMs + REFUSAL_BACKOFF_MS
     if (error.kind === 'unknown-effect') link.refusingUntilMs = nowMs + UNANSWERED_BACKOFF_MS
-    if (error.kind === 'no-ticket') onNoTicket(run)
+    if (error.kind === 'no-ticket') onTicketRefused(run)
     if (isUncertain) void link.stop(run)
-    else book.closeRun(run, 'not-started')
+    else registry.closeRun(run, 'not-started')
   }
 
-  /** Stops a run that is not needed any more, whatever is known of it. @param run - any */
+  /**
+   * Stops a run that is no longer needed, in whichever phase it is.
+   *
+   * @param run - the run to stop
+   */
   stopRun (run: Run): void {
     if (run.phase === 'recording') return this.#options.registry.closeRun(run, 'not-started')
     if (run.phase !== 'stopping') void this.#options.linkOf(run)?.stop(run)
@@ -105,23 +125,23 @@
     if (checkpoint !== '' && stepOf(run.task).isCheckpointing) run.task.checkpoint = checkpoint
   }
 
-  /** A run that the worker does not list: never started, or over and stopped. */
+  /** Closes a run that the worker does not list, once that proves that the run never started, was stopped, or is lost. */
   #closeUnlistedRun (run: Run, askedMs: number): void {
-    const { registry: book } = this.#options
-    if (run.phase === 'unconfirmed') book.closeRun(run, 'not-started')
-    else if (run.phase === 'stopping' && run.stopConfirmedMs !== undefined && run.stopConfirmedMs <= askedMs) book.closeRun(run, 'stopped')
-    else if (run.phase === 'running' && run.startedMs !== undefined && run.startedMs < askedMs) book.closeRun(run, 'lost', { evidence: NOT_LISTED })
+    const { registry } = this.#options
+    if (run.phase === 'unconfirmed') registry.closeRun(run, 'not-started')
+    else if (run.phase === 'stopping' && run.stopConfirmedMs !== undefined && run.stopConfirmedMs <= askedMs) registry.closeRun(run, 'stopped')
+    else if (run.phase === 'running' && run.startedMs !== undefined && run.startedMs < askedMs) registry.closeRun(run, 'lost', { evidence: NOT_LISTED })
   }
 
   async #pace (link: WorkerLink, run: Run, percent: number): Promise<void> {
-    const before = run.pacePercent
+    const previousPercent = run.pacePercent
     run.pacePercent = percent
     const isPaced = await link.pace(run, percent)
-    if (!isPaced) run.pacePercent = before
-    this.#options.log.info({ taskKey: run.taskKey, instanceId: run.instanceId, before, percent, isPaced }, 'filling task paced')
+    if (!isPaced) run.pacePercent = previousPercent
+    this.#options.log.info({ taskKey: run.taskKey, instanceId: run.instanceId, previousPercent, percent, isPaced }, 'pace change sent to filler run')
   }
 
-  /** A job waits until a worker has begun with it: placements may come to nothing. */
+  /** Marks a job as running once a worker has started one of its runs. A placement alone is not enough, as its start may still fail. */
   #markJobRunning (job: Job): void {
     if (job.status !== 'queued') return
     job.status = 'running'
--- a/packages/scheduler/src/lib/jobs/StatusWriter.ts
+++ b/packages/scheduler/src/lib/jobs/StatusWriter.ts
@@ -1,5 +1,5 @@
 /**
- * Writes what others want to know of a service: how many jobs wait, and how many machines it needs.
+ * Publishes the state of a service in the store: how many jobs wait, and how many machines it needs.
  *
  * @module
  */
@@ -12,24 +12,27 @@
 import { waitingKey } from '../records/storeKeys.js'
 import type { WorkerTracker } from '../workers/WorkerTracker.js'
 
-/** What the writer works with. @public */
+/** Dependencies of a {@link StatusWriter}. @public */
 export interface StatusWriterOptions {
   readonly service: string
   readonly clock: Clock
   readonly log: EventLog
-  /** What an account may have running, `undefined` without a limit. */
+  /** Returns the resources that the running tasks of an account may use; `undefined` without a limit. */
   readonly limitOf: (account: AccountName) => Resources | undefined
+  /** Writes a record to the store, without delay if it is urgent. */
   readonly put: (key: string, source: RecordEncoder, isUrgent: boolean) => void
 }
 
-/** How often the counts of waiting jobs are written at least; readers take older ones for outdated. */
+/** Interval between writes of the waiting job counts; readers treat counts that are much older as outdated. */
 const WAITING_COUNT_INTERVAL_MS = 1000
-/** The demand for machines is summed up this often; written at once if it grew by a machine, else this often if it changed, and as a sign of life. */
+/** Interval at which the demand for machines is computed. It is written at once if another machine is needed. */
 const DEMAND_INTERVAL_MS = 100
+/** Minimum interval between writes of any other change of the demand. */
 const DEMAND_CHANGE_INTERVAL_MS = 400
+/** An unchanged demand is rewritten at this interval as a heartbeat. */
 const DEMAND_REFRESH_INTERVAL_MS = 2000
 
-/** The writer. @public */
+/** Writes the waiting job counts and the machine demand of a service to the store. @public */
 export class StatusWriter {
   readonly #options: StatusWriterOptions
   #waitingText = ''
@@ -39,12 +42,18 @@
   #demandComputedMs = -Infinity
   #demandWrittenMs = -Infinity
 
-  /** @param options - what it works with */
+  /** @param options - dependencies */
   constructor (options: StatusWriterOptions) {
     this.#options = options
   }
 
-  /** Writes what has changed. @param jobs - of the service @param workers - of the service @param nowMs - monotonic */
+  /**
+   * Writes the records that are due.
+   *
+   * @param jobs - jobs of the service
+   * @param workers - workers of the service
+   * @param nowMs - current monotonic time
+   */
   write (jobs: readonly Job[], workers: WorkerTracker, nowMs: number): void {
     if (nowMs - this.#waitingWrittenMs >= WAITING_COUNT_INTERVAL_MS) this.#writeWaiting(jobs, nowMs)
     if (nowMs - this.#demandComputedMs >= DEMAND_INTERVAL_MS) this.#writeDemand(jobs, workers, nowMs)
@@ -64,7 +73,7 @@
     put(waitingKey(service), () => JSON.stringify({ atMs, counts }), false)
   }
 
-  /** More need is told at once, anything else now and then. */
+  /** Writes the demand: at once if more machines are needed, otherwise no more often than its intervals allow. */
   #writeDemand (jobs: readonly Job[], workers: WorkerTracker, nowMs: number): void {
     this.#demandComputedMs = nowMs
     const { service, clock, log, limitOf, put } = this.#options
--- a/packages/scheduler/src/lib/jobs/jobProgress.ts
+++ b/packages/scheduler/src/lib/jobs/jobProgress.ts
@@ -1,5 +1,5 @@
 /**
- * Progress of a job as it is kept: what a next holder needs to go on, and what clients are told.
+ * Progress record of a job: what the next duty holder needs to continue the job, and what clients are told about it.
  *
  * @module
  */
@@ -23,26 +23,32 @@
 const progressSchema = z.object({
   status: z.enum(['queued', 'running', 'succeeded', 'failed', 'cancelled']),
   endedMs: z.number().optional(),
-  /** Of a job that failed. */
+  /** Why the job failed. */
   failure: z.object({ reason: z.enum(['attempts', 'crashes']), taskKey: z.string() }).optional(),
-  /** Who alone may ask for it; `undefined` if everybody may. */
+  /** The only client account that may access the job; `undefined` if every account may. */
   owner: jobOwnerSchema.optional(),
   tasks: z.array(taskProgressSchema)
 })
 
-/** Progress of a job. @public */
+/** Progress record of a job. @public */
 export type JobProgress = z.infer<typeof progressSchema>
 
-/** @param job - any @returns its progress as text; an ended job's tasks are left out @public */
+/**
+ * Encodes the progress of a job. Tasks that were never placed are omitted; so are, once the job has ended, tasks without runs.
+ *
+ * @param job - the job to encode
+ * @returns the progress record as text
+ * @public
+ */
 export function encodeProgress (job: Job): string {
-  const touched = allTasks(job).filter(({ lastRunNumber }) => lastRunNumber > 0)
+  const placedTasks = allTasks(job).filter(({ lastRunNumber }) => lastRunNumber > 0)
   const isEnded = job.endedMs !== undefined
   const progress: JobProgress = {
     status: job.status,
     endedMs: job.endedMs,
     failure: job.failure,
     owner: job.spec.isPublic ? undefined : job.spec.owner,
-    tasks: touched.filter(({ runs }) => !isEnded || runs.length > 0).map((task) => ({
+    tasks: placedTasks.filter(({ runs }) => !isEnded || runs.length > 0).map((task) => ({
       key: task.key,
       isDone: task.isDone || undefined,
       lastRunNumber: task.lastRunNumber,
@@ -55,22 +61,28 @@
   return JSON.stringify(progress)
 }
 
-/** A stop that a former holder wrote down is handed on until the run is over. */
+/** Encodes a run. A stop that a previous duty holder recorded stays in the record until the run has ended. */
 function encodeRun ({ runNumber, instanceId, phase, shouldStop: isToStop }: Run): RunProgress {
   const isStopping = phase === 'stopping' || isToStop
   return { runNumber, instanceId, isStopping: isStopping || undefined }
 }
 
-/** @param text - as kept @returns the progress, or why it cannot be read @public */
+/**
+ * Decodes a progress record.
+ *
+ * @param text - the record as stored
+ * @returns the progress, or why it cannot be decoded
+ * @public
+ */
 export const decodeProgress = (text: string): Result<JobProgress, DecodeProblem> => decodeJson(progressSchema, text)
 
 /**
- * Takes over what an earlier holder recorded.
+ * Restores the state of a job that a previous duty holder recorded.
  *
- * @param job - as accepted
- * @param progress - as kept
- * @param nowMs - the present monotonic time
- * @returns its runs that may be going on
+ * @param job - the job as accepted, without runs
+ * @param progress - its progress record
+ * @param nowMs - current monotonic time
+ * @returns the restored runs, each of which may still be running
  * @public
  */
 export function restoreProgress (job: Job, progress: JobProgress, nowMs: number): Run[] {
@@ -78,18 +90,18 @@
   job.endedMs = progress.endedMs
   job.failure = progress.failure
   const restored: Run[] = []
-  for (const kept of progress.tasks) {
-    const task = findTask(job, kept.key)
+  for (const taskProgress of progress.tasks) {
+    const task = findTask(job, taskProgress.key)
     if (task === undefined) continue
-    task.isDone = kept.isDone ?? false
-    task.lastRunNumber = kept.lastRunNumber
-    task.failures = kept.failures ?? 0
-    task.crashes = createCrashRecord(kept.crashPoints)
-    task.checkpoint = kept.checkpoint ?? ''
-    for (const { runNumber, instanceId, isStopping } of kept.runs ?? []) {
+    task.isDone = taskProgress.isDone ?? false
+    task.lastRunNumber = taskProgress.lastRunNumber
+    task.failures = taskProgress.failures ?? 0
+    task.crashes = createCrashRecord(taskProgress.crashPoints)
+    task.checkpoint = taskProgress.checkpoint ?? ''
+    for (const { runNumber, instanceId, isStopping } of taskProgress.runs ?? []) {
       const run: Run = {
         task,
-        taskKey: kept.key,
+        taskKey: taskProgress.key,
         runNumber,
         instanceId,
         phase: 'unconfirmed',
