--- a/packages/scheduler/src/lib/jobs/CrashTracker.ts
+++ b/packages/scheduler/src/lib/jobs/CrashTracker.ts
@@ -78,12 +78,12 @@
    */
   recordLoss (loss: WorkerLoss, nowMs: number): void {
     // If the end was planned, a run that the worker is known to have survived for a while did not cause it.
-    const candidateRuns = loss.runs.filter((run) => run.phase !== 'recording' && !(loss.isPlanned && hasSurvivedStart(loss, run)))
-    if (candidateRuns.length === 0) return
-    const justStartedTasks = new Set(candidateRuns.filter((run) => hasJustStarted(run, nowMs)).map(({ task }) => task))
+    const begun = loss.runs.filter((run) => run.phase !== 'recording' && !(loss.isPlanned && hasSurvivedStart(loss, run)))
+    if (begun.length === 0) return
+    const justStartedTasks = new Set(begun.filter((run) => hasJustStarted(run, nowMs)).map(({ task }) => task))
     const suspects = new Set([...justStartedTasks].filter(isCrashSuspect).map(({ job }) => job))
-    const isSingleJob = new Set(candidateRuns.map(({ task }) => task.job)).size === 1
-    const penalties = candidateRuns.map((run): Penalty =>
+    const isSingleJob = new Set(begun.map(({ task }) => task.job)).size === 1
+    const penalties = begun.map((run): Penalty =>
       ({
         task: run.task,
         record: run.task.crashes,
--- a/packages/scheduler/src/lib/jobs/FleetReport.ts
+++ b/packages/scheduler/src/lib/jobs/FleetReport.ts
@@ -137,9 +137,9 @@
   const placed = tasks.flatMap(({ runs }) => runs ?? [])
   const failures = tasks.reduce((sum, task) => sum + (task.failures ?? 0), 0)
   const pendingSteps = (step?.dependsOn ?? []).filter((dependency) => !isStepDone(spec, dependency, progress))
-  const workers = [...new Set(placed.map(({ instanceId }) => instanceId))]
+  const instanceIds = [...new Set(placed.map(({ instanceId }) => instanceId))]
   return [
-    `step ${index}: ${countDone(tasks)} of ${step?.taskCount ?? 0} done, ${placed.length} placed`, workers.length === 0 ? '' : `on ${workers.join(' ')}`,
+    `step ${index}: ${countDone(tasks)} of ${step?.taskCount ?? 0} done, ${placed.length} placed`, instanceIds.length === 0 ? '' : `on ${instanceIds.join(' ')}`,
     failures === 0 ? '' : `${failures} runs failed`, pendingSteps.length === 0 ? '' : `waits for step ${pendingSteps.join(' and ')}`
   ].filter((part) => part !== '').join(', ')
 }
--- a/packages/scheduler/src/lib/jobs/InboxReader.ts
+++ b/packages/scheduler/src/lib/jobs/InboxReader.ts
@@ -77,7 +77,7 @@
       const subject = parseInboxKey(item.key, prefix)
       if (subject.kind === 'vacate') vacator.request(subject.machineId, item.value)
     }
-    for (const spec of this.#newJobs(changed)) this.#addJob(spec)
+    for (const newSpec of this.#newJobs(changed)) this.#addJob(newSpec)
     // Cancellations and reports of lost machines come last: a listing may return them before the jobs that they refer to.
     for (const item of changed) {
       const subject = parseInboxKey(item.key, prefix)
--- a/packages/scheduler/src/lib/jobs/JobApi.ts
+++ b/packages/scheduler/src/lib/jobs/JobApi.ts
@@ -212,11 +212,11 @@
       return 'unavailable'
     }
     // A placed job has a progress record, but still waits until a worker has started one of its runs.
-    const startedJobs = new Set(progress.result.val.items.filter((item) => records.read(item, decodeProgress)?.status !== 'queued')
+    const begun = new Set(progress.result.val.items.filter((item) => records.read(item, decodeProgress)?.status !== 'queued')
       .map(({ key }) => key.slice(progressPrefix(service).length)))
     return inbox.result.val.items.filter((item) => {
       const subject = parseInboxKey(item.key, inboxPrefix(service))
-      if (subject.kind !== 'job' || startedJobs.has(subject.jobId)) return false
+      if (subject.kind !== 'job' || begun.has(subject.jobId)) return false
       const spec = this.#readJob(item)
       return spec?.queue === queue && spec.schedule === undefined
     }).length
@@ -230,17 +230,17 @@
     const { clock, store } = this.#options
     const startMs = clock.monotonicMs()
     if (store.isUnresponsive(startMs)) return { result: Err(STORE_SILENT), mayHaveEffect: false, tries: 0 }
-    let lostAnswers = 0
+    let lost = 0
     let delayMs = FIRST_RETRY_DELAY_MS
     for (let tries = 1; ; tries++) {
       const result = await call()
-      const mayHaveEffect = lostAnswers > 0
+      const mayHaveEffect = lost > 0
       if (result.ok) return { result, mayHaveEffect, tries }
-      if (result.val.kind === 'unknown-effect') lostAnswers++
+      if (result.val.kind === 'unknown-effect') lost++
       const nowMs = clock.monotonicMs()
-      const retryUntilMs = lostAnswers > 0 ? deadlineMs - DEADLINE_MARGIN_MS : startMs + REFUSED_RETRY_LIMIT_MS
-      const isLastTry = lostAnswers >= MAX_LOST_ANSWERS || store.isUnresponsive(nowMs) || nowMs + delayMs >= Math.min(retryUntilMs, deadlineMs - DEADLINE_MARGIN_MS)
-      if (isLastTry) return { result, mayHaveEffect: lostAnswers > 0, tries }
+      const retryUntilMs = lost > 0 ? deadlineMs - DEADLINE_MARGIN_MS : startMs + REFUSED_RETRY_LIMIT_MS
+      const isLastTry = lost >= MAX_LOST_ANSWERS || store.isUnresponsive(nowMs) || nowMs + delayMs >= Math.min(retryUntilMs, deadlineMs - DEADLINE_MARGIN_MS)
+      if (isLastTry) return { result, mayHaveEffect: lost > 0, tries }
       await delay(delayMs)
       delayMs = Math.min(MAX_RETRY_DELAY_MS, delayMs * 2)
     }
--- a/packages/scheduler/src/lib/jobs/matchQueue.ts
+++ b/packages/scheduler/src/lib/jobs/matchQueue.ts
@@ -22,10 +22,10 @@
  * @public
  */
 export function matchQueue (configuration: FleetConfiguration, host: string, path: string): QueueMatch | undefined {
-  const [hostname = ''] = host.toLowerCase().split(':')
+  const [name = ''] = host.toLowerCase().split(':')
   let longestMatch: QueueConfiguration | undefined
   for (const queue of configuration.queues) {
-    if (queue.host.toLowerCase() !== hostname || !path.startsWith(queue.pathPrefix)) continue
+    if (queue.host.toLowerCase() !== name || !path.startsWith(queue.pathPrefix)) continue
     if (longestMatch === undefined || queue.pathPrefix.length > longestMatch.pathPrefix.length) longestMatch = queue
   }
   return longestMatch === undefined ? undefined : { queue: longestMatch, rest: path.slice(longestMatch.pathPrefix.length) }
