--- a/packages/entry/src/lib/CallerServer.ts
+++ b/packages/entry/src/lib/CallerServer.ts
@@ -8,7 +8,7 @@
 import type Logger from 'bunyan'
 import type { Clock } from '@quillscale/utils'
 import { QuillscaleError } from '@quillscale/model'
-import { CallerPresence, type RequestMetrics } from '@quillscale/routing'
+import { CallerConnection, type RequestMetrics } from '@quillscale/routing'
 import { createHttpServer } from './createHttpServer.js'
 import { HEADER, endToEndHeaders, headerText } from './httpHeaders.js'
 import type { JobManager } from './JobManager.js'
@@ -123,8 +123,8 @@
     const requestId = randomUUID()
     const arrivedMs = clock.monotonicMs()
     const steps: string[] = []
-    const caller = new CallerPresence()
-    response.on('close', () => { if (!response.writableFinished) caller.leave() })
+    const caller = new CallerConnection()
+    response.on('close', () => { if (!response.writableFinished) caller.markDisconnected() })
     let understood: UnderstoodRequest | undefined
     let times = { queueMs: 0, targetMs: undefined as number | undefined }
     let result = 'answered'
@@ -159,7 +159,7 @@
   }
 
   async #run (
-    request: IncomingMessage, response: ServerResponse, understood: UnderstoodRequest, requestId: string, steps: string[], caller: CallerPresence
+    request: IncomingMessage, response: ServerResponse, understood: UnderstoodRequest, requestId: string, steps: string[], caller: CallerConnection
   ): Promise<{ queueMs: number, targetMs: number | undefined }> {
     const { service, deadlineMs } = understood
     const keyText = headerText(request, HEADER.idempotencyKey)
--- a/packages/entry/src/lib/Housekeeper.ts
+++ b/packages/entry/src/lib/Housekeeper.ts
@@ -37,7 +37,7 @@
       registry.queueRefresh()
     }
     for (const { router } of registry.services.values()) {
-      router.expire()
+      router.refuseExpired()
       router.sampleDemand()
     }
     lending.tick()
--- a/packages/entry/src/lib/Prober.ts
+++ b/packages/entry/src/lib/Prober.ts
@@ -66,8 +66,8 @@
     for (const { router, spec } of registry.services.values()) {
       for (const state of router.targets) {
         const { hostId } = state.target
-        const lastMs = Math.max(state.lastHeardMs, this.#askedMs.get(hostId) ?? -Infinity)
-        const isOwn = state.shareSlots > 0 && this.#ownerOf(hostId, members) === self
+        const lastMs = Math.max(state.lastResponseMs, this.#askedMs.get(hostId) ?? -Infinity)
+        const isOwn = state.allottedSlots > 0 && this.#ownerOf(hostId, members) === self
         if (isOwn && nowMs - lastMs > quietMs) due.set(hostId, { state, probePath: spec.probePath })
       }
     }
@@ -104,7 +104,7 @@
   #noteUp (state: TargetState): void {
     const { signals, clock } = this.#options
     this.#failures.delete(state.target.hostId)
-    state.noteProbeOk(clock.monotonicMs())
+    state.recordProbeSuccess(clock.monotonicMs())
     signals.notice(state.target.hostId, 'up', clock.monotonicMs())
   }
 }
--- a/packages/entry/src/lib/RequestRunner.ts
+++ b/packages/entry/src/lib/RequestRunner.ts
@@ -6,7 +6,7 @@
 import type { Readable } from 'node:stream'
 import type { Clock } from '@quillscale/utils'
 import { QuillscaleError, type HostId, type RequestClass } from '@quillscale/model'
-import type { CallerPresence, HeldSlot, SlotRequest } from '@quillscale/routing'
+import type { CallerConnection, HeldSlot, SlotRequest } from '@quillscale/routing'
 import type { RegisteredService } from './ServiceRegistry.js'
 import type { AnswerSink, SendResult, TargetClient } from './TargetClient.js'
 
@@ -23,7 +23,7 @@
   readonly body: Readable | Buffer | null
   /** On the monotonic clock. */
   readonly deadlineMs: number
-  readonly caller: CallerPresence
+  readonly caller: CallerConnection
   /** What happened, for the operator. */
   readonly steps: string[]
 }
@@ -90,7 +90,7 @@
 
   #slotRequest (request: RunnableRequest, excluded: ReadonlySet<HostId>): SlotRequest {
     const { requestClass, tenant, deadlineMs, caller, service } = request
-    return { tenant, priority: requestClass.priority, weight: service.spec.tenantWeights[tenant] ?? 1, deadlineMs, excluded, caller }
+    return { tenant, priority: requestClass.priority, weight: service.spec.tenantWeights[tenant] ?? 1, deadlineMs, excludedHostIds: excluded, caller }
   }
 
   async #acquire (request: RunnableRequest, slotRequest: SlotRequest, mayHaveRun: boolean): Promise<HeldSlot> {
@@ -132,7 +132,7 @@
 
   /** What was not run may always be tried at another target; what may have run only when it may be repeated. */
   #mayRetry (request: RunnableRequest, sent: SendResult, tries: number, excluded: ReadonlySet<HostId>): boolean {
-    if (request.caller.isGone || tries >= MAX_TRIES || isStreaming(request)) return false
+    if (request.caller.isDisconnected || tries >= MAX_TRIES || isStreaming(request)) return false
     const hasTime = this.#options.clock.monotonicMs() < request.deadlineMs
     const isOtherLeft = request.service.router.targets.some((state) => !state.isLeaving && !excluded.has(state.target.hostId))
     const isSafe = sent.result === 'not-sent' || sent.result === 'refused' || this.#isRepeatable(request)
--- a/packages/entry/src/lib/ServiceRegistry.ts
+++ b/packages/entry/src/lib/ServiceRegistry.ts
@@ -8,7 +8,7 @@
 import type { ListedHost } from '@quillscale/ports'
 import type { ConfigurationReplica } from '@quillscale/configuration'
 import { claimPool, hostLabels, orderClaims } from '@quillscale/fleet'
-import { ServiceRouter, shareSlots, type TargetAddress } from '@quillscale/routing'
+import { ServiceRouter, computeSlotShare, type TargetAddress } from '@quillscale/routing'
 import type { HostList } from './HostList.js'
 
 /** A service in force. @public */
@@ -127,7 +127,7 @@
       maxQueued: spec.maxQueuedRequests,
       nowMs: () => clock.monotonicMs(),
       random,
-      onShortage: (wanted) => onShortage(name, wanted),
+      onSlotShortage: (wanted) => onShortage(name, wanted),
       canBorrow: () => canBorrow(name)
     })
   }
@@ -170,7 +170,7 @@
       for (const state of service.router.targets) {
         if (!own.has(state.target.hostId)) state.isLeaving = this.#options.leavingReason(state.target.hostId) !== undefined
       }
-      service.router.setTargets(targets, (target: TargetAddress) => shareSlots(target.hostId, service.spec.slotsPerTarget, members, self))
+      service.router.setTargets(targets, (target: TargetAddress) => computeSlotShare(target.hostId, service.spec.slotsPerTarget, members, self))
     }
   }
 }
--- a/packages/entry/src/lib/SlotLending.ts
+++ b/packages/entry/src/lib/SlotLending.ts
@@ -86,7 +86,7 @@
       if (answer.err || !parsed.success) return
       for (const { slots, ...target } of parsed.data.grants) {
         this.#noteBorrowed(lender.entryHostId, service, target.hostId, slots)
-        this.#registry().services.get(service)?.router.addBorrowed(target, slots)
+        this.#registry().services.get(service)?.router.addBorrowedSlots(target, slots)
       }
     } finally {
       this.#asking.delete(service)
@@ -96,7 +96,7 @@
   /** @param borrower - who asks @param body - its wish @returns the lent slots */
   lend (borrower: PeerIdentity, body: unknown): z.infer<typeof grantSchema> {
     const { service, wanted } = borrowSchema.parse(body)
-    const lent = this.#registry().services.get(service)?.router.lend(wanted) ?? []
+    const lent = this.#registry().services.get(service)?.router.lendSlots(wanted) ?? []
     const record = this.#borrower(borrower)
     for (const { target, slots } of lent) record.loans.push({ service, hostId: target.hostId, slots })
     return { grants: lent.map(({ target, slots }) => ({ ...target, slots })) }
@@ -114,7 +114,7 @@
         const settled = Math.min(left, loan.slots)
         loan.slots -= settled
         left -= settled
-        this.#registry().services.get(loan.service)?.router.restoreLent(hostId, settled)
+        this.#registry().services.get(loan.service)?.router.restoreLentSlots(hostId, settled)
       }
     }
   }
@@ -133,7 +133,7 @@
       const isGone = member === undefined || member.incarnation !== borrower.identity.incarnation ||
         (member.state === 'unreachable' && nowMs - member.lastHeardMs > RECLAIM_AFTER_MS)
       if (!isGone) continue
-      for (const loan of borrower.loans) this.#registry().services.get(loan.service)?.router.restoreLent(loan.hostId, loan.slots)
+      for (const loan of borrower.loans) this.#registry().services.get(loan.service)?.router.restoreLentSlots(loan.hostId, loan.slots)
       this.#lent.delete(key)
     }
   }
@@ -171,7 +171,7 @@
     for (const loan of loans) {
       const router = this.#registry().services.get(loan.service)?.router
       const isNeeded = nowMs - (this.#lastNeedMs.get(loan.service) ?? -Infinity) < IDLE_BEFORE_RETURN_MS && router?.target(loan.hostId)?.isLeaving !== true
-      const given = isNeeded ? 0 : router?.giveBack(loan.hostId, loan.slots) ?? loan.slots
+      const given = isNeeded ? 0 : router?.returnBorrowedSlots(loan.hostId, loan.slots) ?? loan.slots
       if (given === 0) continue
       loan.slots -= given
       returned.set(loan.service, [...(returned.get(loan.service) ?? []), [loan.hostId, given]])
--- a/packages/entry/src/lib/TargetClient.ts
+++ b/packages/entry/src/lib/TargetClient.ts
@@ -6,7 +6,7 @@
 import { Pool, type Dispatcher } from 'undici'
 import type { Readable } from 'node:stream'
 import type { ErrorKind } from '@quillscale/model'
-import type { CallerPresence, TargetAddress, TargetResult } from '@quillscale/routing'
+import type { CallerConnection, TargetAddress, TargetResult } from '@quillscale/routing'
 import { HEADER, endToEndHeaders, rawHeader } from './httpHeaders.js'
 
 /** Takes an answer as it arrives. @public */
@@ -32,7 +32,7 @@
   readonly requiresIdEcho: boolean
   /** How long the answer may take. */
   readonly timeoutMs: number
-  readonly caller: CallerPresence
+  readonly caller: CallerConnection
   /** Whether an answer with this status goes to the sink; a false one is read and dropped. */
   readonly isWanted: (statusCode: number, isRefusal: boolean) => boolean
 }
@@ -69,7 +69,7 @@
     readonly request: TargetRequest, readonly sink: AnswerSink, readonly done: (result: SendResult) => void
   ) {
     this.#timer = setTimeout(() => this.#give('target-timeout', `no whole answer within ${Math.round(request.timeoutMs)} ms`), request.timeoutMs)
-    request.caller.whenGone(this.#onGone)
+    request.caller.addDisconnectListener(this.#onGone)
   }
 
   /** Called right before the request is written: until then no byte can have reached the target. */
@@ -137,7 +137,7 @@
     if (this.#isDone) return
     this.#isDone = true
     clearTimeout(this.#timer)
-    this.request.caller.forget(this.#onGone)
+    this.request.caller.removeDisconnectListener(this.#onGone)
     this.done({
       result,
       statusCode: this.#statusCode,
--- a/packages/entry/src/lib/runKeyedRequest.ts
+++ b/packages/entry/src/lib/runKeyedRequest.ts
@@ -5,7 +5,7 @@
  */
 import { QuillscaleError } from '@quillscale/model'
 import type { KeptAnswer } from '@quillscale/once'
-import { CallerPresence, findClass } from '@quillscale/routing'
+import { CallerConnection, findRequestClass } from '@quillscale/routing'
 import { CollectingSink } from './CollectingSink.js'
 import type { EntryHostParts } from './EntryHostParts.js'
 import type { KeyedRequest } from './keyedMessages.js'
@@ -24,7 +24,7 @@
 export async function runKeyedRequest (parts: Pick<EntryHostParts, 'registry' | 'clock'>, request: KeyedRequest, runner: RequestRunner): Promise<KeptAnswer> {
   const service = parts.registry.services.get(request.service)
   if (service === undefined) throw new QuillscaleError('no-such-service', request.service)
-  const requestClass = findClass(service.spec.classes, request.requestClass)
+  const requestClass = findRequestClass(service.spec.classes, request.requestClass)
   if (requestClass === undefined) throw new QuillscaleError('unknown-class', request.requestClass)
   const sink = new CollectingSink()
   const { requestId, tenant, method, path, headers, body } = request
@@ -39,7 +39,7 @@
     body,
     deadlineMs: parts.clock.monotonicMs() + request.timeoutMs,
     // A keyed request goes on when its caller leaves: the answer is kept for the caller's next try.
-    caller: new CallerPresence(),
+    caller: new CallerConnection(),
     steps: []
   }, sink)
   if (!run.isWhole) throw new QuillscaleError('target-broke-off', 'the answer broke off')
--- a/packages/entry/src/lib/statusReports.ts
+++ b/packages/entry/src/lib/statusReports.ts
@@ -56,7 +56,7 @@
     ownedKeyShards: once.ownedShards,
     inFlight: callers.inFlight,
     services: servicesOf(parts),
-    requests: metrics.summary(),
+    requests: metrics.summarize(),
     work: isZoneHolder ? workOf(parts) : [],
     platformCalls: Object.fromEntries(platformCalls),
     peerTraffic: mesh.traffic,
@@ -77,7 +77,7 @@
       inFlight: router.targets.reduce((sum, state) => sum + state.inFlight, 0),
       queued: router.queued,
       demandSlots: router.demand.slots,
-      demandError: router.demand.errorShare,
+      demandError: router.demand.relativeError,
       hostsByRack
     }
   })
--- a/packages/entry/src/lib/understandRequest.ts
+++ b/packages/entry/src/lib/understandRequest.ts
@@ -5,7 +5,7 @@
  */
 import type { IncomingMessage } from 'node:http'
 import { QuillscaleError, type RequestClass } from '@quillscale/model'
-import { findClass } from '@quillscale/routing'
+import { findRequestClass } from '@quillscale/routing'
 import { HEADER, findRepeated, headerText } from './httpHeaders.js'
 import type { RegisteredService, ServiceRegistry } from './ServiceRegistry.js'
 
@@ -40,7 +40,7 @@
   if (service === undefined) throw new QuillscaleError('no-such-service', `${request.headers.host}${request.url ?? ''}`)
   const { spec } = service
   const className = spec.classHeader === undefined ? undefined : headerText(request, spec.classHeader)
-  const requestClass = findClass(spec.classes, className)
+  const requestClass = findRequestClass(spec.classes, className)
   if (requestClass === undefined) throw new QuillscaleError('unknown-class', `no class ${className ?? ''}`)
   const tenant = spec.tenantHeaders.map((name) => headerText(request, name) ?? '-').join('/') || '-'
   const stated = Number(headerText(request, HEADER.deadline))
--- a/packages/routing/src/lib/AdmissionQueue.ts
+++ b/packages/routing/src/lib/AdmissionQueue.ts
@@ -15,13 +15,13 @@
 }
 
 /** Why a request was refused without being run. @public */
-export type Refusal = 'overloaded' | 'deadline-not-run'
+export type RefusalReason = 'overloaded' | 'deadline-not-run'
 
 /** A waiting request. @public */
-export interface Waiting<T> {
+export interface QueuedRequest<T> {
   readonly request: AdmissionRequest
   readonly item: T
-  readonly arrivedMs: number
+  readonly enqueuedMs: number
 }
 
 /** Limits of one service's queue. @public */
@@ -41,9 +41,9 @@
 /** Times vary: a request is let in only when it can take this many times the usual one. */
 const SERVICE_TIME_MARGIN = 3
 
-interface TenantQueue<T> { readonly tenant: string, readonly waiting: Array<Waiting<T>> }
-interface Share { virtualTimeMs: number, costMs: number, lastUsedMs: number }
-const SHARE_KEPT_MS = 60_000
+interface TenantQueue<T> { readonly tenant: string, readonly waiting: Array<QueuedRequest<T>> }
+interface TenantShare { virtualTimeMs: number, costMs: number, lastUsedMs: number }
+const SHARE_RETENTION_MS = 60_000
 
 /**
  * Requests of one service that wait at one entry host: urgent before normal before batch, and within a priority each
@@ -54,9 +54,9 @@
 export class AdmissionQueue<T> {
   readonly #options: AdmissionOptions
   readonly #queues = new Map<RequestClass['priority'], Map<string, TenantQueue<T>>>(PRIORITIES.map((priority) => [priority, new Map()]))
-  readonly #shares = new Map<string, Share>()
+  readonly #shares = new Map<string, TenantShare>()
   #length = 0
-  #picks = 0
+  #pickCount = 0
   #virtualTimeMs = 0
   /** Estimated slot time of one request. */
   #serviceTimeMs = 0
@@ -102,12 +102,12 @@
    * @param nowMs - the present time
    * @returns the request that is refused, the new one or a waiting one in its place; `undefined` when none is
    */
-  offer (request: AdmissionRequest, item: T, slots: number, nowMs: number): { refused: Waiting<T>, reason: Refusal } | undefined {
-    const arriving: Waiting<T> = { request, item, arrivedMs: nowMs }
-    const own = this.#queue(request)
-    const fairWaitMs = this.#fairWaitMs(request, own, slots)
+  enqueue (request: AdmissionRequest, item: T, slots: number, nowMs: number): { refused: QueuedRequest<T>, reason: RefusalReason } | undefined {
+    const arriving: QueuedRequest<T> = { request, item, enqueuedMs: nowMs }
+    const ownQueue = this.#queueFor(request)
+    const fairWaitMs = this.#fairWaitMs(request, ownQueue, slots)
     if (nowMs + fairWaitMs + SERVICE_TIME_MARGIN * this.#serviceTimeMs > request.deadlineMs) return { refused: arriving, reason: 'overloaded' }
-    own.waiting.push(arriving)
+    ownQueue.waiting.push(arriving)
     this.#length++
     if (this.#length <= this.#options.maxQueued) return undefined
     return { refused: this.#evict(), reason: 'overloaded' }
@@ -119,14 +119,14 @@
    * @param nowMs - the present time
    * @returns the request to run and those that can no longer meet their deadline
    */
-  take (nowMs: number): { next: Waiting<T> | undefined, expired: Array<Waiting<T>> } {
-    const expired: Array<Waiting<T>> = []
+  dequeue (nowMs: number): { next: QueuedRequest<T> | undefined, expired: Array<QueuedRequest<T>> } {
+    const expired: Array<QueuedRequest<T>> = []
     for (;;) {
       const level = this.#pickLevel()
       if (level === undefined) return { next: undefined, expired }
       const queue = this.#pickTenant(level)
-      const waiting = queue.waiting.shift() as Waiting<T>
-      this.#forgetEmpty(level, queue)
+      const waiting = queue.waiting.shift() as QueuedRequest<T>
+      this.#removeIfEmpty(level, queue)
       this.#length--
       if (nowMs + this.#serviceTimeMs > waiting.request.deadlineMs) {
         expired.push(waiting)
@@ -143,15 +143,15 @@
    * @param isMatch - tells which
    * @returns the removed requests
    */
-  remove (isMatch: (item: T) => boolean): Array<Waiting<T>> {
-    const removed: Array<Waiting<T>> = []
+  removeMatching (isMatch: (item: T) => boolean): Array<QueuedRequest<T>> {
+    const removed: Array<QueuedRequest<T>> = []
     for (const level of this.#queues.values()) {
       for (const queue of [...level.values()]) {
         const leaving = queue.waiting.filter(({ item }) => isMatch(item))
         if (leaving.length === 0) continue
         queue.waiting.splice(0, queue.waiting.length, ...queue.waiting.filter(({ item }) => !isMatch(item)))
         removed.push(...leaving)
-        this.#forgetEmpty(level, queue)
+        this.#removeIfEmpty(level, queue)
       }
     }
     this.#length -= removed.length
@@ -159,7 +159,7 @@
   }
 
   /** @param request - a request that runs without having waited @param nowMs - the present time */
-  chargeDirect (request: AdmissionRequest, nowMs: number): void {
+  chargeUnqueued (request: AdmissionRequest, nowMs: number): void {
     this.#charge(request, nowMs)
   }
 
@@ -169,7 +169,7 @@
    * @param request - the finished request
    * @param tookMs - its slot time
    */
-  finish (request: AdmissionRequest, tookMs: number): void {
+  recordCompletion (request: AdmissionRequest, tookMs: number): void {
     this.#serviceTimeMs = this.#serviceTimeMs === 0 ? tookMs : this.#serviceTimeMs + SMOOTHING * (tookMs - this.#serviceTimeMs)
     const share = this.#shares.get(request.tenant)
     if (share === undefined) return
@@ -178,78 +178,78 @@
   }
 
   /** A tenant waits behind its own requests at its share of the slots, not behind everybody's. */
-  #fairWaitMs (request: AdmissionRequest, own: TenantQueue<T>, slots: number): number {
+  #fairWaitMs (request: AdmissionRequest, ownQueue: TenantQueue<T>, slots: number): number {
     const overallMs = this.estimateWaitMs(request.priority, slots)
     const tenants = Math.max(1, this.#queues.get(request.priority)?.size ?? 1)
     const costMs = this.#shares.get(request.tenant)?.costMs ?? this.#serviceTimeMs
-    const ownMs = slots > 0 ? (own.waiting.length + 1) * costMs * tenants / slots : 0
+    const ownMs = slots > 0 ? (ownQueue.waiting.length + 1) * costMs * tenants / slots : 0
     return Math.min(overallMs, ownMs)
   }
 
-  #queue (request: AdmissionRequest): TenantQueue<T> {
+  #queueFor (request: AdmissionRequest): TenantQueue<T> {
     const level = this.#queues.get(request.priority) as Map<string, TenantQueue<T>>
     const existing = level.get(request.tenant)
     if (existing !== undefined) return existing
     const created: TenantQueue<T> = { tenant: request.tenant, waiting: [] }
     level.set(request.tenant, created)
-    this.#share(request.tenant)
+    this.#shareOf(request.tenant)
     return created
   }
 
   /** A tenant that comes back starts at the present virtual time: what it did not use it does not save up. */
-  #share (tenant: string): Share {
+  #shareOf (tenant: string): TenantShare {
     const existing = this.#shares.get(tenant)
     if (existing !== undefined) {
       existing.virtualTimeMs = Math.max(existing.virtualTimeMs, this.#virtualTimeMs)
       return existing
     }
-    const created: Share = { virtualTimeMs: this.#virtualTimeMs, costMs: this.#serviceTimeMs, lastUsedMs: 0 }
+    const created: TenantShare = { virtualTimeMs: this.#virtualTimeMs, costMs: this.#serviceTimeMs, lastUsedMs: 0 }
     this.#shares.set(tenant, created)
     return created
   }
 
   #charge (request: AdmissionRequest, nowMs: number): void {
-    const share = this.#share(request.tenant)
+    const share = this.#shareOf(request.tenant)
     this.#virtualTimeMs = Math.max(this.#virtualTimeMs, share.virtualTimeMs)
     share.virtualTimeMs += Math.max(share.costMs, MIN_COST_MS) / request.weight
     share.lastUsedMs = nowMs
-    this.#sweep(nowMs)
+    this.#removeIdleShares(nowMs)
   }
 
-  #sweep (nowMs: number): void {
-    if (nowMs - this.#lastSweepMs < SHARE_KEPT_MS) return
+  #removeIdleShares (nowMs: number): void {
+    if (nowMs - this.#lastSweepMs < SHARE_RETENTION_MS) return
     this.#lastSweepMs = nowMs
-    for (const [tenant, share] of this.#shares) if (nowMs - share.lastUsedMs > SHARE_KEPT_MS) this.#shares.delete(tenant)
+    for (const [tenant, share] of this.#shares) if (nowMs - share.lastUsedMs > SHARE_RETENTION_MS) this.#shares.delete(tenant)
   }
 
   #pickLevel (): Map<string, TenantQueue<T>> | undefined {
     const waiting = PRIORITIES.map((priority) => this.#queues.get(priority) as Map<string, TenantQueue<T>>).filter((level) => level.size > 0)
     const hasQueued = waiting.filter((level) => [...level.values()].some((queue) => queue.waiting.length > 0))
-    this.#picks++
-    return this.#picks % this.#options.lowestPriorityEvery === 0 ? hasQueued.at(-1) : hasQueued[0]
+    this.#pickCount++
+    return this.#pickCount % this.#options.lowestPriorityEvery === 0 ? hasQueued.at(-1) : hasQueued[0]
   }
 
   #pickTenant (level: Map<string, TenantQueue<T>>): TenantQueue<T> {
     let best: TenantQueue<T> | undefined
     for (const queue of level.values()) {
       if (queue.waiting.length === 0) continue
-      if (best === undefined || this.#share(queue.tenant).virtualTimeMs < this.#share(best.tenant).virtualTimeMs) best = queue
+      if (best === undefined || this.#shareOf(queue.tenant).virtualTimeMs < this.#shareOf(best.tenant).virtualTimeMs) best = queue
     }
     return best as TenantQueue<T>
   }
 
   /** The newest request of the tenant with most requests in the lowest priority goes. */
-  #evict (): Waiting<T> {
+  #evict (): QueuedRequest<T> {
     const level = [...PRIORITIES].reverse().map((priority) => this.#queues.get(priority) as Map<string, TenantQueue<T>>)
       .find((queues) => [...queues.values()].some((queue) => queue.waiting.length > 0)) as Map<string, TenantQueue<T>>
     const longest = [...level.values()].reduce((a, b) => b.waiting.length > a.waiting.length ? b : a)
-    const refused = longest.waiting.pop() as Waiting<T>
-    this.#forgetEmpty(level, longest)
+    const refused = longest.waiting.pop() as QueuedRequest<T>
+    this.#removeIfEmpty(level, longest)
     this.#length--
     return refused
   }
 
-  #forgetEmpty (level: Map<string, TenantQueue<T>>, queue: TenantQueue<T>): void {
+  #removeIfEmpty (level: Map<string, TenantQueue<T>>, queue: TenantQueue<T>): void {
     if (queue.waiting.length === 0) level.delete(queue.tenant)
   }
 }
--- a/packages/routing/src/lib/CallerPresence.ts
+++ b/packages/routing/src/lib/CallerConnection.ts
@@ -7,29 +7,29 @@
  */
 
 /** The caller of one request. @public */
-export class CallerPresence {
+export class CallerConnection {
   #isGone = false
   #listeners: Array<() => void> = []
 
   /** Whether the caller has left. */
-  get isGone (): boolean {
+  get isDisconnected (): boolean {
     return this.#isGone
   }
 
   /** Notes that the caller has left. */
-  leave (): void {
+  markDisconnected (): void {
     if (this.#isGone) return
     this.#isGone = true
     for (const listener of this.#listeners.splice(0)) listener()
   }
 
   /** @param listener - called when the caller leaves */
-  whenGone (listener: () => void): void {
+  addDisconnectListener (listener: () => void): void {
     this.#listeners.push(listener)
   }
 
   /** @param listener - no longer called */
-  forget (listener: () => void): void {
+  removeDisconnectListener (listener: () => void): void {
     const index = this.#listeners.indexOf(listener)
     if (index >= 0) this.#listeners.splice(index, 1)
   }
--- a/packages/routing/src/lib/DemandEstimate.ts
+++ b/packages/routing/src/lib/DemandEstimator.ts
@@ -16,7 +16,7 @@
 export const DEMAND_DEFAULTS: DemandOptions = { halfLifeMs: 600_000, errorSmoothing: 0.02 }
 
 /** The demand for one service at one entry host. @public */
-export class DemandEstimate {
+export class DemandEstimator {
   readonly #options: DemandOptions
   #peakSlots = 0
   #errorShare = 0
@@ -33,7 +33,7 @@
   }
 
   /** How far samples went beyond the estimate, as a share of it. */
-  get errorShare (): number {
+  get relativeError (): number {
     return this.#errorShare
   }
 
@@ -43,7 +43,7 @@
    * @param slots - in use and waited for
    * @param nowMs - the present time
    */
-  sample (slots: number, nowMs: number): void {
+  addSample (slots: number, nowMs: number): void {
     const elapsedMs = this.#lastMs === undefined ? 0 : nowMs - this.#lastMs
     this.#lastMs = nowMs
     const decayed = this.#peakSlots * 0.5 ** (elapsedMs / this.#options.halfLifeMs)
--- a/packages/routing/src/lib/RequestMetrics.ts
+++ b/packages/routing/src/lib/RequestMetrics.ts
@@ -6,21 +6,21 @@
 import hdr, { type Histogram } from 'hdr-histogram-js'
 
 /** What is timed of a request. @public */
-export type Phase = 'queue' | 'target' | 'total'
-const PHASES: readonly Phase[] = ['queue', 'target', 'total']
+export type RequestPhase = 'queue' | 'target' | 'total'
+const REQUEST_PHASES: readonly RequestPhase[] = ['queue', 'target', 'total']
 const QUANTILES = [0.5, 0.9, 0.99, 0.999] as const
 const MICROSECONDS_PER_MS = 1000
-const HIGHEST_MICROSECONDS = 600_000_000
+const MAX_RECORDED_MICROSECONDS = 600_000_000
 
 /** Whose request it was. @public */
-export interface Series {
+export interface SeriesLabels {
   readonly service: string
   readonly tenant: string
   readonly requestClass: string
 }
 
 /** One finished request. @public */
-export interface RequestSample extends Series {
+export interface RequestSample extends SeriesLabels {
   readonly queueMs: number
   /** `undefined` when no target was asked. */
   readonly targetMs: number | undefined
@@ -29,7 +29,7 @@
   readonly result: string
 }
 
-interface SeriesRecord { readonly series: Series, readonly histograms: Record<Phase, Histogram>, readonly results: Map<string, number> }
+interface SeriesRecord { readonly series: SeriesLabels, readonly histograms: Record<RequestPhase, Histogram>, readonly results: Map<string, number> }
 
 /** Bounds of the metrics' memory. @public */
 export interface RequestMetricsOptions {
@@ -38,13 +38,13 @@
 }
 
 /** One row of the summary. @public */
-export interface SeriesSummary extends Series {
+export interface SeriesSummary extends SeriesLabels {
   readonly results: Readonly<Record<string, number>>
   readonly p50Ms: number
   readonly p99Ms: number
 }
 
-function newHistogram (): Histogram {
+function createHistogram (): Histogram {
   return hdr.build({ bitBucketSize: 32, autoResize: true, lowestDiscernibleValue: 1, highestTrackableValue: 2, numberOfSignificantValueDigits: 2 })
 }
 
@@ -62,15 +62,15 @@
 
   /** @param sample - a finished request */
   record (sample: RequestSample): void {
-    const record = this.#find(sample)
+    const record = this.#findOrCreate(sample)
     record.results.set(sample.result, (record.results.get(sample.result) ?? 0) + 1)
-    this.#time(record, 'queue', sample.queueMs)
-    if (sample.targetMs !== undefined) this.#time(record, 'target', sample.targetMs)
-    this.#time(record, 'total', sample.totalMs)
+    this.#recordDuration(record, 'queue', sample.queueMs)
+    if (sample.targetMs !== undefined) this.#recordDuration(record, 'target', sample.targetMs)
+    this.#recordDuration(record, 'total', sample.totalMs)
   }
 
   /** @returns a row for each tenant and class */
-  summary (): SeriesSummary[] {
+  summarize (): SeriesSummary[] {
     return [...this.#series.values()].map(({ series, histograms, results }) => ({
       ...series,
       results: Object.fromEntries(results),
@@ -84,26 +84,26 @@
     const lines = ['# TYPE quillscale_request_seconds summary', '# TYPE quillscale_requests_total counter']
     for (const { series, histograms, results } of this.#series.values()) {
       const labels = `service="${escapeLabel(series.service)}",tenant="${escapeLabel(series.tenant)}",class="${escapeLabel(series.requestClass)}"`
-      for (const phase of PHASES) lines.push(...renderHistogram(labels, phase, histograms[phase]))
+      for (const phase of REQUEST_PHASES) lines.push(...renderHistogram(labels, phase, histograms[phase]))
       for (const [result, count] of results) lines.push(`quillscale_requests_total{${labels},result="${result}"} ${count}`)
     }
     return lines.join('\n') + '\n'
   }
 
-  #time (record: SeriesRecord, phase: Phase, durationMs: number): void {
+  #recordDuration (record: SeriesRecord, phase: RequestPhase, durationMs: number): void {
     const microseconds = Math.round(durationMs * MICROSECONDS_PER_MS)
-    record.histograms[phase].recordValue(Math.max(1, Math.min(HIGHEST_MICROSECONDS, microseconds)))
+    record.histograms[phase].recordValue(Math.max(1, Math.min(MAX_RECORDED_MICROSECONDS, microseconds)))
   }
 
-  #find (sample: Series): SeriesRecord {
+  #findOrCreate (sample: SeriesLabels): SeriesRecord {
     const key = `${sample.service}\u0000${sample.tenant}\u0000${sample.requestClass}`
     const existing = this.#series.get(key)
     if (existing !== undefined) return existing
-    if (this.#series.size >= this.#maxSeries && sample.tenant !== 'other') return this.#find({ ...sample, tenant: 'other' })
+    if (this.#series.size >= this.#maxSeries && sample.tenant !== 'other') return this.#findOrCreate({ ...sample, tenant: 'other' })
     const series = { service: sample.service, tenant: sample.tenant, requestClass: sample.requestClass }
     const created: SeriesRecord = {
       series,
-      histograms: { queue: newHistogram(), target: newHistogram(), total: newHistogram() },
+      histograms: { queue: createHistogram(), target: createHistogram(), total: createHistogram() },
       results: new Map()
     }
     this.#series.set(key, created)
@@ -111,7 +111,7 @@
   }
 }
 
-function renderHistogram (labels: string, phase: Phase, histogram: Histogram): string[] {
+function renderHistogram (labels: string, phase: RequestPhase, histogram: Histogram): string[] {
   const name = 'quillscale_request_seconds'
   const seconds = (microseconds: number): number => microseconds / 1e6
   const quantiles = QUANTILES.map((quantile) =>
--- a/packages/routing/src/lib/ServiceRouter.ts
+++ b/packages/routing/src/lib/ServiceRouter.ts
@@ -4,10 +4,10 @@
  * @module
  */
 import { QuillscaleError, type HostId, type RequestClass } from '@quillscale/model'
-import { AdmissionQueue, type AdmissionRequest, type Waiting } from './AdmissionQueue.js'
-import type { CallerPresence } from './CallerPresence.js'
+import { AdmissionQueue, type AdmissionRequest, type QueuedRequest } from './AdmissionQueue.js'
+import type { CallerConnection } from './CallerConnection.js'
 import { chooseTarget } from './chooseTarget.js'
-import { DemandEstimate } from './DemandEstimate.js'
+import { DemandEstimator } from './DemandEstimator.js'
 import { RetryBudget } from './RetryBudget.js'
 import { TargetState, type TargetAddress, type TargetResult } from './TargetState.js'
 
@@ -20,9 +20,9 @@
 /** Asks for a slot. @public */
 export interface SlotRequest extends AdmissionRequest {
   /** Targets that this request tried already. */
-  readonly excluded: ReadonlySet<HostId>
+  readonly excludedHostIds: ReadonlySet<HostId>
   /** Ends the wait when the caller is gone. */
-  readonly caller?: CallerPresence | undefined
+  readonly caller?: CallerConnection | undefined
 }
 
 interface Waiter { request: SlotRequest, resolve: (slot: HeldSlot) => void, reject: (error: QuillscaleError) => void }
@@ -35,17 +35,17 @@
   /** Whether another entry host may lend slots; without it a service with no target of its own refuses at once. */
   readonly canBorrow?: () => boolean
   /** Called when requests wait and no slot is free, at most every `borrowPauseMs`. */
-  readonly onShortage?: (wanted: number) => void
+  readonly onSlotShortage?: (wanted: number) => void
 }
 
-const BORROW_PAUSE_MS = 20
-const MAX_LINGER_MS = 2000
+const MIN_SHORTAGE_REPORT_INTERVAL_MS = 20
+const MAX_SLOT_RELEASE_DELAY_MS = 2000
 const DEFAULT_RETRY_AFTER_MS = 1000
 
 /** Routes the requests of one service at one entry host. @public */
 export class ServiceRouter {
   readonly retryBudget = new RetryBudget()
-  readonly demand = new DemandEstimate()
+  readonly demand = new DemandEstimator()
   readonly #targets = new Map<HostId, TargetState>()
   readonly #queue: AdmissionQueue<Waiter>
   readonly #options: ServiceRouterOptions
@@ -88,11 +88,11 @@
     const wanted = new Set(targets.map(({ hostId }) => hostId))
     for (const [hostId, state] of this.#targets) {
       if (!wanted.has(hostId) && state.borrowedSlots === 0) this.#targets.delete(hostId)
-      else if (!wanted.has(hostId)) state.shareSlots = 0
+      else if (!wanted.has(hostId)) state.allottedSlots = 0
     }
     for (const { isLeaving, ...target } of targets) {
       const state = this.#stateOf(target)
-      state.shareSlots = share(target)
+      state.allottedSlots = share(target)
       state.isLeaving = isLeaving
     }
     this.#states = [...this.#targets.values()]
@@ -105,7 +105,7 @@
   }
 
   /** @param target - where a borrowed slot is @param slots - how many were lent by another entry host */
-  addBorrowed (target: TargetAddress, slots: number): void {
+  addBorrowedSlots (target: TargetAddress, slots: number): void {
     this.#stateOf(target).borrowedSlots += slots
     this.#states = [...this.#targets.values()]
     this.dispatch()
@@ -121,14 +121,14 @@
   acquire (request: SlotRequest): Promise<HeldSlot> {
     const nowMs = this.#options.nowMs()
     if (this.#queue.length === 0) {
-      const state = chooseTarget(this.#states, request.excluded, nowMs, this.#options.random)
+      const state = chooseTarget(this.#states, request.excludedHostIds, nowMs, this.#options.random)
       if (state !== undefined) {
-        this.#queue.chargeDirect(request, nowMs)
-        return Promise.resolve(this.#hold(state, nowMs))
+        this.#queue.chargeUnqueued(request, nowMs)
+        return Promise.resolve(this.#occupySlot(state, nowMs))
       }
     }
-    const isAnyLeft = this.#states.some((state) => !state.isLeaving && !request.excluded.has(state.target.hostId))
-    if (!isAnyLeft && this.#options.canBorrow?.() !== true) return Promise.reject(new QuillscaleError('no-target', 'no target of the service is in service', { retryAfterMs: DEFAULT_RETRY_AFTER_MS }))
+    const hasUntriedTarget = this.#states.some((state) => !state.isLeaving && !request.excludedHostIds.has(state.target.hostId))
+    if (!hasUntriedTarget && this.#options.canBorrow?.() !== true) return Promise.reject(new QuillscaleError('no-target', 'no target of the service is in service', { retryAfterMs: DEFAULT_RETRY_AFTER_MS }))
     return this.#enqueue(request, nowMs)
   }
 
@@ -142,18 +142,18 @@
   release (slot: HeldSlot, request: SlotRequest, result: TargetResult | 'not-sent'): void {
     const nowMs = this.#options.nowMs()
     const tookMs = nowMs - slot.acquiredMs
-    if (result === 'answered') this.#queue.finish(request, tookMs)
-    if (result !== 'not-sent') slot.state.note(result, tookMs, nowMs)
+    if (result === 'answered') this.#queue.recordCompletion(request, tookMs)
+    if (result !== 'not-sent') slot.state.recordResult(result, tookMs, nowMs)
     if (result === 'refused' || (result === 'failed' && nowMs >= request.deadlineMs)) {
       // The target is full, or goes on with what nobody waits for: the slot is not free yet, and trying it at once would
       // burn the retries of one request after the other.
-      setTimeout(() => this.#free(slot), Math.min(MAX_LINGER_MS, this.#queue.serviceTimeMs)).unref()
+      setTimeout(() => this.#freeSlot(slot), Math.min(MAX_SLOT_RELEASE_DELAY_MS, this.#queue.serviceTimeMs)).unref()
       return
     }
-    this.#free(slot)
+    this.#freeSlot(slot)
   }
 
-  #free (slot: HeldSlot): void {
+  #freeSlot (slot: HeldSlot): void {
     slot.state.inFlight--
     this.dispatch()
   }
@@ -162,14 +162,14 @@
   dispatch (): void {
     const nowMs = this.#options.nowMs()
     while (this.#queue.length > 0) {
-      const probe = chooseTarget(this.#states, new Set(), nowMs, this.#options.random)
-      if (probe === undefined) break
-      const { next, expired } = this.#queue.take(nowMs)
+      const available = chooseTarget(this.#states, new Set(), nowMs, this.#options.random)
+      if (available === undefined) break
+      const { next, expired } = this.#queue.dequeue(nowMs)
       for (const waiting of expired) this.#refuse(waiting, 'deadline-not-run')
       if (next === undefined) break
       // A target that was tried before is better than none: it may have been full only then.
-      const state = chooseTarget(this.#states, next.item.request.excluded, nowMs, this.#options.random) ?? probe
-      next.item.resolve(this.#hold(state, nowMs))
+      const state = chooseTarget(this.#states, next.item.request.excludedHostIds, nowMs, this.#options.random) ?? available
+      next.item.resolve(this.#occupySlot(state, nowMs))
     }
     this.#reportShortage(nowMs)
   }
@@ -177,13 +177,13 @@
   /** Notes how much is asked for; called now and then. */
   sampleDemand (): void {
     const inUse = this.#states.reduce((sum, state) => sum + state.inFlight, 0)
-    this.demand.sample(inUse + this.#queue.length, this.#options.nowMs())
+    this.demand.addSample(inUse + this.#queue.length, this.#options.nowMs())
   }
 
   /** Refuses what can no longer meet its deadline; called now and then, so that refusals don't wait for a slot. */
-  expire (): void {
+  refuseExpired (): void {
     const nowMs = this.#options.nowMs()
-    const late = this.#queue.remove(({ request }) => nowMs + this.#queue.serviceTimeMs > request.deadlineMs)
+    const late = this.#queue.removeMatching(({ request }) => nowMs + this.#queue.serviceTimeMs > request.deadlineMs)
     for (const waiting of late) this.#refuse(waiting, 'deadline-not-run')
   }
 
@@ -193,13 +193,13 @@
    * @param wanted - how many
    * @returns which slots were lent
    */
-  lend (wanted: number): Array<{ target: TargetAddress, slots: number }> {
+  lendSlots (wanted: number): Array<{ target: TargetAddress, slots: number }> {
     const lent: Array<{ target: TargetAddress, slots: number }> = []
     let left = Math.min(wanted, Math.ceil(this.spareSlots / 2))
     const nowMs = this.#options.nowMs()
     for (const state of [...this.#states].sort((a, b) => b.freeSlots - a.freeSlots)) {
       const free = state.lendableSlots
-      if (left <= 0 || free === 0 || state.isResting(nowMs)) continue
+      if (left <= 0 || free === 0 || state.isEjected(nowMs)) continue
       const slots = Math.min(left, Math.ceil(free / 2))
       state.lentSlots += slots
       left -= slots
@@ -209,7 +209,7 @@
   }
 
   /** @param hostId - the target's host @param slots - how many slots came back */
-  restoreLent (hostId: HostId, slots: number): void {
+  restoreLentSlots (hostId: HostId, slots: number): void {
     const state = this.#targets.get(hostId)
     if (state === undefined) return
     state.lentSlots = Math.max(0, state.lentSlots - slots)
@@ -217,31 +217,31 @@
   }
 
   /** @param hostId - the target's host @param slots - how many borrowed slots are given up, at most those that are idle @returns how many were */
-  giveBack (hostId: HostId, slots: number): number {
+  returnBorrowedSlots (hostId: HostId, slots: number): number {
     const state = this.#targets.get(hostId)
     if (state === undefined) return slots
     const idle = Math.max(0, state.usableSlots - state.inFlight)
-    const given = Math.min(slots, idle, state.borrowedSlots)
-    state.borrowedSlots -= given
-    return given
+    const returnedSlots = Math.min(slots, idle, state.borrowedSlots)
+    state.borrowedSlots -= returnedSlots
+    return returnedSlots
   }
 
   #enqueue (request: SlotRequest, nowMs: number): Promise<HeldSlot> {
     return new Promise((resolve, reject) => {
       const waiter: Waiter = { request, resolve, reject }
-      const decision = this.#queue.offer(request, waiter, this.usableSlots, nowMs)
+      const decision = this.#queue.enqueue(request, waiter, this.usableSlots, nowMs)
       if (decision !== undefined) this.#refuse(decision.refused, decision.reason)
-      request.caller?.whenGone(() => this.#abandon(waiter))
+      request.caller?.addDisconnectListener(() => this.#removeAbandoned(waiter))
       this.#reportShortage(nowMs)
     })
   }
 
-  #abandon (waiter: Waiter): void {
-    const removed = this.#queue.remove((item) => item === waiter)
+  #removeAbandoned (waiter: Waiter): void {
+    const removed = this.#queue.removeMatching((item) => item === waiter)
     for (const { item } of removed) item.reject(new QuillscaleError('caller-gone', 'the caller left while its request waited', { outcome: 'not-run' }))
   }
 
-  #refuse (waiting: Waiting<Waiter>, reason: 'overloaded' | 'deadline-not-run'): void {
+  #refuse (waiting: QueuedRequest<Waiter>, reason: 'overloaded' | 'deadline-not-run'): void {
     const slots = this.usableSlots
     const waitMs = this.#queue.estimateWaitMs(waiting.request.priority, slots)
     const retryAfterMs = Math.max(DEFAULT_RETRY_AFTER_MS, Math.ceil(waitMs))
@@ -249,20 +249,20 @@
   }
 
   #reportShortage (nowMs: number): void {
-    if (this.#queue.length === 0 || nowMs - this.#lastShortageMs < BORROW_PAUSE_MS) return
+    if (this.#queue.length === 0 || nowMs - this.#lastShortageMs < MIN_SHORTAGE_REPORT_INTERVAL_MS) return
     this.#lastShortageMs = nowMs
-    this.#options.onShortage?.(this.#queue.length)
+    this.#options.onSlotShortage?.(this.#queue.length)
   }
 
-  #hold (state: TargetState, nowMs: number): HeldSlot {
+  #occupySlot (state: TargetState, nowMs: number): HeldSlot {
     state.inFlight++
     return { state, acquiredMs: nowMs }
   }
 
   #stateOf (target: TargetAddress): TargetState {
     const existing = this.#targets.get(target.hostId)
-    const isSamePlace = existing?.target.address === target.address && existing.target.port === target.port
-    if (existing !== undefined && isSamePlace) return existing
+    const isSameAddress = existing?.target.address === target.address && existing.target.port === target.port
+    if (existing !== undefined && isSameAddress) return existing
     const created = new TargetState(target)
     this.#targets.set(target.hostId, created)
     return created
@@ -270,6 +270,6 @@
 }
 
 /** @param classes - a service's classes @param name - the wanted one, `undefined` for the first @returns it, `undefined` when there is none @public */
-export function findClass (classes: readonly RequestClass[], name: string | undefined): RequestClass | undefined {
+export function findRequestClass (classes: readonly RequestClass[], name: string | undefined): RequestClass | undefined {
   return name === undefined ? classes[0] : classes.find((candidate) => candidate.name === name)
 }
--- a/packages/routing/src/lib/TargetState.ts
+++ b/packages/routing/src/lib/TargetState.ts
@@ -18,14 +18,14 @@
   /** Weight of a new sample; 0.1 by default. */
   readonly smoothing: number
   /** Failures in a row after which a target is rested; 5 by default. */
-  readonly restAfterFailures: number
+  readonly ejectAfterFailures: number
   /** The first rest; doubles with each further one, up to 32 times; 1000 by default. */
-  readonly restMs: number
+  readonly baseEjectionMs: number
 }
 
 /** The documented defaults. @public */
-export const TARGET_HEALTH_DEFAULTS: TargetHealthOptions = { smoothing: 0.1, restAfterFailures: 5, restMs: 1000 }
-const MAX_REST_FACTOR = 32
+export const TARGET_HEALTH_DEFAULTS: TargetHealthOptions = { smoothing: 0.1, ejectAfterFailures: 5, baseEjectionMs: 1000 }
+const MAX_EJECTION_FACTOR = 32
 const MIN_SUCCESS_SHARE = 0.02
 
 /** What became of one request at a target. @public */
@@ -34,7 +34,7 @@
 /** A target as one entry host sees it. @public */
 export class TargetState {
   /** Slots this entry host may use by its share of the zone. */
-  shareSlots = 0
+  allottedSlots = 0
   /** Slots lent to other entry hosts. */
   lentSlots = 0
   /** Slots borrowed from other entry hosts. */
@@ -48,11 +48,11 @@
   /** Estimated share of requests that succeed. */
   successShare = 1
   /** No work is sent before this time, unless too many targets rest. */
-  restsUntilMs = 0
+  ejectedUntilMs = 0
   /** When anything was last heard from it. */
-  lastHeardMs = 0
-  #failuresInRow = 0
-  #restFactor = 1
+  lastResponseMs = 0
+  #consecutiveFailures = 0
+  #ejectionFactor = 1
   readonly #options: TargetHealthOptions
 
   /**
@@ -65,7 +65,7 @@
 
   /** Slots this entry host may use now. */
   get usableSlots (): number {
-    return Math.max(0, this.shareSlots - this.lentSlots) + this.borrowedSlots
+    return Math.max(0, this.allottedSlots - this.lentSlots) + this.borrowedSlots
   }
 
   /** Slots that are free now. */
@@ -85,7 +85,7 @@
    * @param tookMs - from sending to the end of the answer
    * @param nowMs - the present time
    */
-  note (result: TargetResult, tookMs: number, nowMs: number): void {
+  recordResult (result: TargetResult, tookMs: number, nowMs: number): void {
     const { smoothing } = this.#options
     if (result === 'answered') {
       this.latencyMs = this.latencyMs === 0 ? tookMs : this.latencyMs + smoothing * (tookMs - this.latencyMs)
@@ -93,34 +93,34 @@
     const success = result === 'answered' ? 1 : 0
     const weight = result === 'refused' ? smoothing / 2 : smoothing
     this.successShare = Math.max(MIN_SUCCESS_SHARE, this.successShare + weight * (success - this.successShare))
-    this.lastHeardMs = nowMs
-    if (result === 'answered') this.#recover()
+    this.lastResponseMs = nowMs
+    if (result === 'answered') this.#resetFailures()
     // A target that refuses is full, not broken: it gets less, but it is not rested.
-    if (result === 'failed') this.#countFailure(nowMs)
+    if (result === 'failed') this.#recordFailure(nowMs)
   }
 
   /** @param nowMs - the present time; a probe found it working */
-  noteProbeOk (nowMs: number): void {
-    this.lastHeardMs = nowMs
+  recordProbeSuccess (nowMs: number): void {
+    this.lastResponseMs = nowMs
   }
 
   /** @param nowMs - the present time @returns whether it is left alone for now */
-  isResting (nowMs: number): boolean {
-    return this.restsUntilMs > nowMs
+  isEjected (nowMs: number): boolean {
+    return this.ejectedUntilMs > nowMs
   }
 
-  #recover (): void {
-    this.#failuresInRow = 0
-    this.#restFactor = 1
-    this.restsUntilMs = 0
+  #resetFailures (): void {
+    this.#consecutiveFailures = 0
+    this.#ejectionFactor = 1
+    this.ejectedUntilMs = 0
   }
 
-  #countFailure (nowMs: number): void {
-    this.#failuresInRow++
-    if (this.#failuresInRow < this.#options.restAfterFailures) return
+  #recordFailure (nowMs: number): void {
+    this.#consecutiveFailures++
+    if (this.#consecutiveFailures < this.#options.ejectAfterFailures) return
     // While it rests, what was sent earlier still fails; only failures after a rest lengthen the next.
-    if (this.isResting(nowMs)) return
-    this.restsUntilMs = nowMs + this.#options.restMs * this.#restFactor
-    this.#restFactor = Math.min(MAX_REST_FACTOR, this.#restFactor * 2)
+    if (this.isEjected(nowMs)) return
+    this.ejectedUntilMs = nowMs + this.#options.baseEjectionMs * this.#ejectionFactor
+    this.#ejectionFactor = Math.min(MAX_EJECTION_FACTOR, this.#ejectionFactor * 2)
   }
 }
--- a/packages/routing/src/lib/shareSlots.ts
+++ b/packages/routing/src/lib/computeSlotShare.ts
@@ -16,13 +16,13 @@
  * @param hostId - the target's host
  * @param slots - what the target runs at once
  * @param members - the zone's working entry hosts, this one among them
- * @param self - this entry host
+ * @param selfId - this entry host
  * @returns how many slots this entry host may use
  * @public
  */
-export function shareSlots (hostId: HostId, slots: number, members: readonly EntryHostId[], self: EntryHostId): number {
-  const base = Math.floor(slots / members.length)
+export function computeSlotShare (hostId: HostId, slots: number, members: readonly EntryHostId[], selfId: EntryHostId): number {
+  const baseSlots = Math.floor(slots / members.length)
   const remainder = slots % members.length
-  const rank = rendezvousOrder(hostId, members).indexOf(self)
-  return base + (rank < remainder ? 1 : 0)
+  const rank = rendezvousOrder(hostId, members).indexOf(selfId)
+  return baseSlots + (rank < remainder ? 1 : 0)
 }
--- a/packages/routing/src/test/AdmissionQueue.test.ts
+++ b/packages/routing/src/test/AdmissionQueue.test.ts
@@ -27,12 +27,12 @@
   for (let tick = 0; tick < 500; tick++) {
     nowMs += SERVICE_MS
     for (const { tenant, weight = 1, perTick, priority = 'normal' } of loads) {
-      for (let count = 0; count < perTick; count++) queue.offer({ tenant, weight, priority, deadlineMs: nowMs + 500 }, tenant, SLOTS, nowMs)
+      for (let count = 0; count < perTick; count++) queue.enqueue({ tenant, weight, priority, deadlineMs: nowMs + 500 }, tenant, SLOTS, nowMs)
     }
     for (let slot = 0; slot < SLOTS; slot++) {
-      const { next } = queue.take(nowMs)
+      const { next } = queue.dequeue(nowMs)
       if (next === undefined) continue
-      queue.finish(next.request, SERVICE_MS)
+      queue.recordCompletion(next.request, SERVICE_MS)
       ran.set(next.item, (ran.get(next.item) ?? 0) + 1)
     }
   }
@@ -56,14 +56,14 @@
   it('refuses at once what cannot meet its deadline', () => {
     const queue = new AdmissionQueue<number>()
     const request: AdmissionRequest = { tenant: 'a', weight: 1, priority: 'normal', deadlineMs: 1000 }
-    queue.finish(request, 600)
-    expect(queue.offer(request, 1, 1, 0)).to.deep.include({ reason: 'overloaded' })
+    queue.recordCompletion(request, 600)
+    expect(queue.enqueue(request, 1, 1, 0)).to.deep.include({ reason: 'overloaded' })
   })
 
   it('drops what can no longer meet its deadline instead of running it', () => {
     const queue = new AdmissionQueue<number>()
-    queue.offer({ tenant: 'a', weight: 1, priority: 'normal', deadlineMs: 100 }, 1, 1, 0)
-    const { next, expired } = queue.take(200)
+    queue.enqueue({ tenant: 'a', weight: 1, priority: 'normal', deadlineMs: 100 }, 1, 1, 0)
+    const { next, expired } = queue.dequeue(200)
     expect([next, expired.map(({ item }) => item)]).to.deep.equal([undefined, [1]])
   })
 })
--- a/packages/routing/src/test/chooseTarget.test.ts
+++ b/packages/routing/src/test/chooseTarget.test.ts
@@ -2,7 +2,7 @@
 import { SeededRandom } from '@quillscale/utils'
 import { createAvailabilityZone, createEntryHostId, createHostId } from '@quillscale/model'
 import { chooseTarget } from '../lib/chooseTarget.js'
-import { shareSlots } from '../lib/shareSlots.js'
+import { computeSlotShare } from '../lib/computeSlotShare.js'
 import { RetryBudget } from '../lib/RetryBudget.js'
 import { TargetState } from '../lib/TargetState.js'
 
@@ -25,7 +25,7 @@
 function makeStates (): TargetState[] {
   return Array.from({ length: TARGETS }, (_, index) => {
     const state = new TargetState({ hostId: createHostId(`h${index}`), availabilityZone: createAvailabilityZone('z'), address: 'x', port: 1 })
-    state.shareSlots = 4
+    state.allottedSlots = 4
     return state
   })
 }
@@ -42,7 +42,7 @@
     for (const done of running.filter(({ endsMs }) => endsMs <= nowMs)) {
       running.splice(running.indexOf(done), 1)
       done.state.inFlight--
-      done.state.note(done.fails ? 'failed' : 'answered', done.tookMs, nowMs)
+      done.state.recordResult(done.fails ? 'failed' : 'answered', done.tookMs, nowMs)
     }
     const state = chooseTarget(states, new Set(), nowMs, () => random.next())
     if (state === undefined) continue
@@ -62,7 +62,7 @@
 
   it('never rests so many that the others drown', () => {
     const states = makeStates()
-    for (const state of states) for (let count = 0; count < 20; count++) state.note('failed', 1, 0)
+    for (const state of states) for (let count = 0; count < 20; count++) state.recordResult('failed', 1, 0)
     const random = new SeededRandom(5)
     const seen = new Set(Array.from({ length: 200 }, () => chooseTarget(states, new Set(), 1, () => random.next())))
     expect(seen.size).to.be.at.least(TARGETS / 2)
@@ -81,7 +81,7 @@
   for (const [slots, members] of [[8, 1], [8, 2], [8, 3], [8, 5], [3, 5], [1, 2]] as const) {
     it(`divides ${slots} slots among ${members} entry hosts without over-commit`, () => {
       const ids = Array.from({ length: members }, (_, index) => createEntryHostId(`e${index}`))
-      const shares = ids.map((self) => shareSlots(createHostId('h1'), slots, ids, self))
+      const shares = ids.map((self) => computeSlotShare(createHostId('h1'), slots, ids, self))
       expect(shares.reduce((sum, share) => sum + share, 0)).to.equal(slots)
     })
   }
