--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Decisions of the request path: admission, slots, choice of target, retries, metrics.
+ * Request path decisions of an entry host: admission, slot sharing, target selection, retries and request metrics.
  *
  * @module
  */
--- a/packages/routing/src/lib/AdmissionQueue.ts
+++ b/packages/routing/src/lib/AdmissionQueue.ts
@@ -1,23 +1,23 @@
 /**
- * Decides which waiting request of a service goes next, and which is refused.
+ * Decides which queued request of a service runs next, and which requests are refused.
  *
  * @module
  */
 import type { RequestClass } from '@quillscale/model'
 
-/** What the decision needs to know of a request. @public */
+/** Properties of a request that admission depends on. @public */
 export interface AdmissionRequest {
   readonly tenant: string
   readonly priority: RequestClass['priority']
   readonly weight: number
-  /** On the same clock as `nowMs`. */
+  /** Deadline on the same clock as `nowMs`. */
   readonly deadlineMs: number
 }
 
-/** Why a request was refused without being run. @public */
+/** Reason why a request was refused without being run. @public */
 export type RefusalReason = 'overloaded' | 'deadline-not-run'
 
-/** A waiting request. @public */
+/** A request in the queue. @public */
 export interface QueuedRequest<T> {
   readonly request: AdmissionRequest
   readonly item: T
@@ -26,19 +26,19 @@
 
 /** Limits of one service's queue. @public */
 export interface AdmissionOptions {
-  /** Requests that may wait; 256 by default. */
+  /** Maximum number of queued requests; 256 by default. */
   readonly maxQueued: number
-  /** One of this many picks goes to the lowest waiting priority, so that it is not starved for ever; 32 by default. */
+  /** Every n-th pick takes the lowest queued priority, so that it is not starved; 32 by default. */
   readonly lowestPriorityEvery: number
 }
 
-/** The documented defaults. @public */
+/** Default limits. @public */
 export const ADMISSION_DEFAULTS: AdmissionOptions = { maxQueued: 256, lowestPriorityEvery: 32 }
 
 const PRIORITIES: ReadonlyArray<RequestClass['priority']> = ['urgent', 'normal', 'batch']
 const SMOOTHING = 0.05
 const MIN_COST_MS = 0.05
-/** Times vary: a request is let in only when it can take this many times the usual one. */
+/** Slot times vary, so a request is admitted only if its deadline leaves this many times the estimated slot time. */
 const SERVICE_TIME_MARGIN = 3
 
 interface TenantQueue<T> { readonly tenant: string, readonly waiting: Array<QueuedRequest<T>> }
@@ -46,8 +46,8 @@
 const SHARE_RETENTION_MS = 60_000
 
 /**
- * Requests of one service that wait at one entry host: urgent before normal before batch, and within a priority each
- * tenant by its weight, measured in the slot time it used rather than in requests.
+ * Queues the requests of one service at one entry host. Urgent requests run before normal ones and those before batch.
+ * Within a priority, tenants share the slots by weighted fair queueing, measured in slot time rather than in requests.
  *
  * @public
  */
@@ -58,31 +58,31 @@
   #length = 0
   #pickCount = 0
   #virtualTimeMs = 0
-  /** Estimated slot time of one request. */
+  /** Moving average of the slot time of one request. */
   #serviceTimeMs = 0
   #lastSweepMs = 0
 
-  /** @param options - limits, the defaults without them */
+  /** @param options - limits that override the defaults */
   constructor (options: Partial<AdmissionOptions> = {}) {
     this.#options = { ...ADMISSION_DEFAULTS, ...options }
   }
 
-  /** How many requests wait. */
+  /** Number of queued requests. */
   get length (): number {
     return this.#length
   }
 
-  /** Estimated slot time of one request, 0 before the first. */
+  /** Estimated slot time of one request; 0 before the first completion. */
   get serviceTimeMs (): number {
     return this.#serviceTimeMs
   }
 
   /**
-   * Estimates how long a request would wait.
+   * Estimates how long a request would be queued.
    *
-   * @param priority - its priority
-   * @param slots - how many slots the service has here
-   * @returns the wait behind everything of its priority and above
+   * @param priority - priority of the request
+   * @param slots - slots of the service that this entry host may use
+   * @returns the wait behind all queued requests of the same or a higher priority
    */
   estimateWaitMs (priority: RequestClass['priority'], slots: number): number {
     let ahead = 0
@@ -94,30 +94,30 @@
   }
 
   /**
-   * Takes a request in, or decides who must go.
+   * Adds a request to the queue, unless it would miss its deadline, and evicts a request if the queue is full.
    *
-   * @param request - what the decision needs to know
-   * @param item - handed back with the decision
-   * @param slots - how many slots the service has here
-   * @param nowMs - the present time
-   * @returns the request that is refused, the new one or a waiting one in its place; `undefined` when none is
+   * @param request - properties that the decision depends on
+   * @param item - returned with the request when it is dequeued or refused
+   * @param slots - slots of the service that this entry host may use
+   * @param nowMs - the current time
+   * @returns the refused request, which is either the new or a queued one; `undefined` if none is refused
    */
   enqueue (request: AdmissionRequest, item: T, slots: number, nowMs: number): { refused: QueuedRequest<T>, reason: RefusalReason } | undefined {
-    const arriving: QueuedRequest<T> = { request, item, enqueuedMs: nowMs }
+    const added: QueuedRequest<T> = { request, item, enqueuedMs: nowMs }
     const ownQueue = this.#queueFor(request)
     const fairWaitMs = this.#fairWaitMs(request, ownQueue, slots)
-    if (nowMs + fairWaitMs + SERVICE_TIME_MARGIN * this.#serviceTimeMs > request.deadlineMs) return { refused: arriving, reason: 'overloaded' }
-    ownQueue.waiting.push(arriving)
+    if (nowMs + fairWaitMs + SERVICE_TIME_MARGIN * this.#serviceTimeMs > request.deadlineMs) return { refused: added, reason: 'overloaded' }
+    ownQueue.waiting.push(added)
     this.#length++
     if (this.#length <= this.#options.maxQueued) return undefined
     return { refused: this.#evict(), reason: 'overloaded' }
   }
 
   /**
-   * Picks the request that goes next.
+   * Removes the request that runs next.
    *
-   * @param nowMs - the present time
-   * @returns the request to run and those that can no longer meet their deadline
+   * @param nowMs - the current time
+   * @returns the request to run, and the removed requests that can no longer meet their deadline
    */
   dequeue (nowMs: number): { next: QueuedRequest<T> | undefined, expired: Array<QueuedRequest<T>> } {
     const expired: Array<QueuedRequest<T>> = []
@@ -138,9 +138,9 @@
   }
 
   /**
-   * Notes that a request could not be started or was given up by its caller while it waited.
+   * Removes queued requests, for example those whose caller has disconnected or whose deadline has become unreachable.
    *
-   * @param isMatch - tells which
+   * @param isMatch - selects the requests to remove
    * @returns the removed requests
    */
   removeMatching (isMatch: (item: T) => boolean): Array<QueuedRequest<T>> {
@@ -158,16 +158,21 @@
     return removed
   }
 
-  /** @param request - a request that runs without having waited @param nowMs - the present time */
+  /**
+   * Charges a tenant for a request that runs without having been queued.
+   *
+   * @param request - the request
+   * @param nowMs - the current time
+   */
   chargeUnqueued (request: AdmissionRequest, nowMs: number): void {
     this.#charge(request, nowMs)
   }
 
   /**
-   * Corrects a tenant's charge by what its request really used.
+   * Updates the estimated slot time, and corrects the tenant's charge by the slot time that its request really used.
    *
    * @param request - the finished request
-   * @param tookMs - its slot time
+   * @param tookMs - slot time of the request
    */
   recordCompletion (request: AdmissionRequest, tookMs: number): void {
     this.#serviceTimeMs = this.#serviceTimeMs === 0 ? tookMs : this.#serviceTimeMs + SMOOTHING * (tookMs - this.#serviceTimeMs)
@@ -177,7 +182,7 @@
     share.costMs += 0.2 * (tookMs - share.costMs)
   }
 
-  /** A tenant waits behind its own requests at its share of the slots, not behind everybody's. */
+  /** Estimates the wait behind the tenant's own requests at its share of the slots, at most the wait behind all requests. */
   #fairWaitMs (request: AdmissionRequest, ownQueue: TenantQueue<T>, slots: number): number {
     const overallMs = this.estimateWaitMs(request.priority, slots)
     const tenants = Math.max(1, this.#queues.get(request.priority)?.size ?? 1)
@@ -196,7 +201,7 @@
     return created
   }
 
-  /** A tenant that comes back starts at the present virtual time: what it did not use it does not save up. */
+  /** Returns a tenant's share. A returning tenant starts at the current virtual time, so unused share doesn't accumulate. */
   #shareOf (tenant: string): TenantShare {
     const existing = this.#shares.get(tenant)
     if (existing !== undefined) {
@@ -224,9 +229,9 @@
 
   #pickLevel (): Map<string, TenantQueue<T>> | undefined {
     const waiting = PRIORITIES.map((priority) => this.#queues.get(priority) as Map<string, TenantQueue<T>>).filter((level) => level.size > 0)
-    const hasQueued = waiting.filter((level) => [...level.values()].some((queue) => queue.waiting.length > 0))
+    const nonEmptyLevels = waiting.filter((level) => [...level.values()].some((queue) => queue.waiting.length > 0))
     this.#pickCount++
-    return this.#pickCount % this.#options.lowestPriorityEvery === 0 ? hasQueued.at(-1) : hasQueued[0]
+    return this.#pickCount % this.#options.lowestPriorityEvery === 0 ? nonEmptyLevels.at(-1) : nonEmptyLevels[0]
   }
 
   #pickTenant (level: Map<string, TenantQueue<T>>): TenantQueue<T> {
@@ -238,7 +243,7 @@
     return best as TenantQueue<T>
   }
 
-  /** The newest request of the tenant with most requests in the lowest priority goes. */
+  /** Removes the newest request of the tenant that has the most requests in the lowest queued priority. */
   #evict (): QueuedRequest<T> {
     const level = [...PRIORITIES].reverse().map((priority) => this.#queues.get(priority) as Map<string, TenantQueue<T>>)
       .find((queues) => [...queues.values()].some((queue) => queue.waiting.length > 0)) as Map<string, TenantQueue<T>>
--- a/packages/routing/src/lib/CallerConnection.ts
+++ b/packages/routing/src/lib/CallerConnection.ts
@@ -1,34 +1,42 @@
 /**
- * Tells whether the caller of a request is still there.
+ * Tracks whether the caller of a request is still connected.
  *
- * Why not an `AbortSignal`: making one and listening to it took a twentieth of the processor time of a request.
+ * This is not an `AbortSignal`, because creating one and listening to it took a twentieth of the CPU time of a request.
  *
  * @module
  */
 
-/** The caller of one request. @public */
+/** The connection of the caller that sent one request. @public */
 export class CallerConnection {
   #isGone = false
   #listeners: Array<() => void> = []
 
-  /** Whether the caller has left. */
+  /** Whether the caller has disconnected. */
   get isDisconnected (): boolean {
     return this.#isGone
   }
 
-  /** Notes that the caller has left. */
+  /** Marks the caller as disconnected and calls the listeners once. */
   markDisconnected (): void {
     if (this.#isGone) return
     this.#isGone = true
     for (const listener of this.#listeners.splice(0)) listener()
   }
 
-  /** @param listener - called when the caller leaves */
+  /**
+   * Adds a listener.
+   *
+   * @param listener - called once when the caller disconnects; never, if it already has
+   */
   addDisconnectListener (listener: () => void): void {
     this.#listeners.push(listener)
   }
 
-  /** @param listener - no longer called */
+  /**
+   * Removes a listener.
+   *
+   * @param listener - the listener to remove
+   */
   removeDisconnectListener (listener: () => void): void {
     const index = this.#listeners.indexOf(listener)
     if (index >= 0) this.#listeners.splice(index, 1)
--- a/packages/routing/src/lib/DemandEstimator.ts
+++ b/packages/routing/src/lib/DemandEstimator.ts
@@ -1,47 +1,47 @@
 /**
- * Estimates how many slots a service needs at its busy time, and how far off that estimate tends to be.
+ * Estimates the peak number of slots that a service needs, and the typical error of that estimate.
  *
  * @module
  */
 
-/** How the estimate follows. @public */
+/** Settings of the demand estimate. @public */
 export interface DemandOptions {
-  /** In this time an old peak loses half of its height; 600000 by default. */
+  /** Time in which a past peak decays to half; 600000 by default. */
   readonly halfLifeMs: number
-  /** Weight of a new error; 0.02 by default. */
+  /** Weight of a new sample in the moving average of the error; 0.02 by default. */
   readonly errorSmoothing: number
 }
 
-/** The documented defaults. @public */
+/** Default settings. @public */
 export const DEMAND_DEFAULTS: DemandOptions = { halfLifeMs: 600_000, errorSmoothing: 0.02 }
 
-/** The demand for one service at one entry host. @public */
+/** Estimates the demand for one service at one entry host as a decaying peak. @public */
 export class DemandEstimator {
   readonly #options: DemandOptions
   #peakSlots = 0
   #errorShare = 0
   #lastMs: number | undefined
 
-  /** @param options - how it follows, the defaults without them */
+  /** @param options - settings that override the defaults */
   constructor (options: Partial<DemandOptions> = {}) {
     this.#options = { ...DEMAND_DEFAULTS, ...options }
   }
 
-  /** Slots at the busy time. */
+  /** Estimated peak demand in slots. */
   get slots (): number {
     return this.#peakSlots
   }
 
-  /** How far samples went beyond the estimate, as a share of it. */
+  /** Moving average of how far samples exceeded the estimate, relative to the estimate. */
   get relativeError (): number {
     return this.#errorShare
   }
 
   /**
-   * Takes a sample.
+   * Updates the estimate with the current demand.
    *
-   * @param slots - in use and waited for
-   * @param nowMs - the present time
+   * @param slots - slots in use plus queued requests
+   * @param nowMs - the current time
    */
   addSample (slots: number, nowMs: number): void {
     const elapsedMs = this.#lastMs === undefined ? 0 : nowMs - this.#lastMs
--- a/packages/routing/src/lib/RequestMetrics.ts
+++ b/packages/routing/src/lib/RequestMetrics.ts
@@ -1,43 +1,43 @@
 /**
- * Histograms for each tenant and class, and counters of outcomes, in the customary text format.
+ * Latency histograms and result counters for each service, tenant and request class, exposed in the Prometheus text format.
  *
  * @module
  */
 import hdr, { type Histogram } from 'hdr-histogram-js'
 
-/** What is timed of a request. @public */
+/** Part of a request that is timed. @public */
 export type RequestPhase = 'queue' | 'target' | 'total'
 const REQUEST_PHASES: readonly RequestPhase[] = ['queue', 'target', 'total']
 const QUANTILES = [0.5, 0.9, 0.99, 0.999] as const
 const MICROSECONDS_PER_MS = 1000
 const MAX_RECORDED_MICROSECONDS = 600_000_000
 
-/** Whose request it was. @public */
+/** Labels that identify one series of metrics. @public */
 export interface SeriesLabels {
   readonly service: string
   readonly tenant: string
   readonly requestClass: string
 }
 
-/** One finished request. @public */
+/** Measurements of one finished request. @public */
 export interface RequestSample extends SeriesLabels {
   readonly queueMs: number
-  /** `undefined` when no target was asked. */
+  /** `undefined` if the request was not sent to a target. */
   readonly targetMs: number | undefined
   readonly totalMs: number
-  /** `answered`, or the error kind. */
+  /** `answered` or the kind of the error. */
   readonly result: string
 }
 
 interface SeriesRecord { readonly series: SeriesLabels, readonly histograms: Record<RequestPhase, Histogram>, readonly results: Map<string, number> }
 
-/** Bounds of the metrics' memory. @public */
+/** Limits the memory that the metrics use. @public */
 export interface RequestMetricsOptions {
-  /** Tenants and classes beyond this many share the tenant `other`; 400 by default. */
+  /** Series beyond this number are recorded under the tenant `other`; 400 by default. */
   readonly maxSeries: number
 }
 
-/** One row of the summary. @public */
+/** Summary of one series. @public */
 export interface SeriesSummary extends SeriesLabels {
   readonly results: Readonly<Record<string, number>>
   readonly p50Ms: number
@@ -50,17 +50,21 @@
 
 const escapeLabel = (text: string): string => text.replaceAll('\\', '\\\\').replaceAll('"', '\\"').replaceAll('\n', '\\n')
 
-/** Measures requests. @public */
+/** Records the latency and result of requests. @public */
 export class RequestMetrics {
   readonly #series = new Map<string, SeriesRecord>()
   readonly #maxSeries: number
 
-  /** @param options - bounds, the defaults without them */
+  /** @param options - limits that override the defaults */
   constructor (options: Partial<RequestMetricsOptions> = {}) {
     this.#maxSeries = options.maxSeries ?? 400
   }
 
-  /** @param sample - a finished request */
+  /**
+   * Records a finished request.
+   *
+   * @param sample - measurements of the request
+   */
   record (sample: RequestSample): void {
     const record = this.#findOrCreate(sample)
     record.results.set(sample.result, (record.results.get(sample.result) ?? 0) + 1)
@@ -69,7 +73,11 @@
     this.#recordDuration(record, 'total', sample.totalMs)
   }
 
-  /** @returns a row for each tenant and class */
+  /**
+   * Summarizes all series.
+   *
+   * @returns one summary for each service, tenant and request class
+   */
   summarize (): SeriesSummary[] {
     return [...this.#series.values()].map(({ series, histograms, results }) => ({
       ...series,
@@ -79,7 +87,11 @@
     }))
   }
 
-  /** @returns the text of the metrics route */
+  /**
+   * Renders all series in the Prometheus text format.
+   *
+   * @returns the body of the metrics route
+   */
   render (): string {
     const lines = ['# TYPE quillscale_request_seconds summary', '# TYPE quillscale_requests_total counter']
     for (const { series, histograms, results } of this.#series.values()) {
--- a/packages/routing/src/lib/RetryBudget.ts
+++ b/packages/routing/src/lib/RetryBudget.ts
@@ -1,37 +1,41 @@
 /**
- * Bounds retries to a share of the requests, so that they cannot multiply an overload.
+ * Limits retries to a fraction of the requests, so that retries cannot amplify an overload.
  *
  * @module
  */
 
-/** How many retries are allowed. @public */
+/** Limits of a retry budget. @public */
 export interface RetryBudgetOptions {
-  /** Retries for each request, on the average; 0.1 by default. */
+  /** Average number of retries allowed per request; 0.1 by default. */
   readonly ratio: number
-  /** Retries that may be saved up; 10 by default. */
+  /** Maximum number of unused retries that accumulate; 10 by default. */
   readonly maxSaved: number
 }
 
-/** The documented defaults. @public */
+/** Default limits. @public */
 export const RETRY_BUDGET_DEFAULTS: RetryBudgetOptions = { ratio: 0.1, maxSaved: 10 }
 
-/** Tokens earned by requests and spent by retries. @public */
+/** A token bucket that first attempts fill and retries drain. @public */
 export class RetryBudget {
   readonly #options: RetryBudgetOptions
   #tokens: number
 
-  /** @param options - the bounds, the defaults without them */
+  /** @param options - limits that override the defaults */
   constructor (options: Partial<RetryBudgetOptions> = {}) {
     this.#options = { ...RETRY_BUDGET_DEFAULTS, ...options }
     this.#tokens = this.#options.maxSaved
   }
 
-  /** Notes a first try. */
+  /** Credits the budget for the first attempt of a request. */
   earn (): void {
     this.#tokens = Math.min(this.#options.maxSaved, this.#tokens + this.#options.ratio)
   }
 
-  /** @returns whether a retry may be sent; it is then counted */
+  /**
+   * Takes a token for one retry, if there is one.
+   *
+   * @returns whether the retry may be sent
+   */
   trySpend (): boolean {
     if (this.#tokens < 1) return false
     this.#tokens--
--- a/packages/routing/src/lib/ServiceRouter.ts
+++ b/packages/routing/src/lib/ServiceRouter.ts
@@ -1,5 +1,5 @@
 /**
- * Joins the decisions of one service: which request goes next, to which target, and when a slot is borrowed.
+ * Routes the requests of one service: which request runs next, on which target, and when slots are borrowed.
  *
  * @module
  */
@@ -11,30 +11,30 @@
 import { RetryBudget } from './RetryBudget.js'
 import { TargetState, type TargetAddress, type TargetResult } from './TargetState.js'
 
-/** A slot of a target that a request holds. @public */
+/** A slot of a target that a request occupies. @public */
 export interface HeldSlot {
   readonly state: TargetState
   readonly acquiredMs: number
 }
 
-/** Asks for a slot. @public */
+/** A request that needs a slot. @public */
 export interface SlotRequest extends AdmissionRequest {
-  /** Targets that this request tried already. */
+  /** Hosts of the targets that this request has already tried. */
   readonly excludedHostIds: ReadonlySet<HostId>
-  /** Ends the wait when the caller is gone. */
+  /** Removes the request from the queue when its caller disconnects. */
   readonly caller?: CallerConnection | undefined
 }
 
 interface Waiter { request: SlotRequest, resolve: (slot: HeldSlot) => void, reject: (error: QuillscaleError) => void }
 
-/** How one service is routed. @public */
+/** Settings and callbacks of a service's router. @public */
 export interface ServiceRouterOptions {
   readonly maxQueued?: number
   readonly nowMs: () => number
   readonly random: () => number
-  /** Whether another entry host may lend slots; without it a service with no target of its own refuses at once. */
+  /** Whether another entry host may lend slots. If not, a request that has no target left to try is refused at once. */
   readonly canBorrow?: () => boolean
-  /** Called when requests wait and no slot is free, at most every `borrowPauseMs`. */
+  /** Called with the number of queued requests when no slot is free for them, at most every 20 ms. */
   readonly onSlotShortage?: (wanted: number) => void
 }
 
@@ -52,37 +52,37 @@
   #states: TargetState[] = []
   #lastShortageMs = -Infinity
 
-  /** @param options - limits and time */
+  /** @param options - settings and callbacks */
   constructor (options: ServiceRouterOptions) {
     this.#options = options
     this.#queue = new AdmissionQueue(options.maxQueued === undefined ? {} : { maxQueued: options.maxQueued })
   }
 
-  /** The targets it knows. */
+  /** The targets of the service, including those on which slots are only borrowed. */
   get targets (): readonly TargetState[] {
     return this.#states
   }
 
-  /** How many requests wait. */
+  /** Number of queued requests. */
   get queued (): number {
     return this.#queue.length
   }
 
-  /** Slots that are free and not needed here. */
+  /** Slots that may be lent to other entry hosts; none while requests are queued here. */
   get spareSlots (): number {
     return this.#queue.length > 0 ? 0 : this.#states.reduce((sum, state) => sum + state.lendableSlots, 0)
   }
 
-  /** Slots this entry host may use. */
+  /** Slots that this entry host may use on targets that are not leaving. */
   get usableSlots (): number {
     return this.#states.reduce((sum, state) => sum + (state.isLeaving ? 0 : state.usableSlots), 0)
   }
 
   /**
-   * Sets the targets; known ones keep what was learned of them.
+   * Replaces the targets. Targets that remain keep their health estimates; removed ones stay while they have borrowed slots.
    *
-   * @param targets - those in reach
-   * @param share - this entry host's slots of each
+   * @param targets - the reachable targets
+   * @param share - returns how many of a target's slots this entry host may use
    */
   setTargets (targets: ReadonlyArray<TargetAddress & { isLeaving: boolean }>, share: (target: TargetAddress) => number): void {
     const wanted = new Set(targets.map(({ hostId }) => hostId))
@@ -99,12 +99,22 @@
     this.dispatch()
   }
 
-  /** @param hostId - the target's host @returns what is known of it */
+  /**
+   * Looks up a target.
+   *
+   * @param hostId - host of the target
+   * @returns the target's state, `undefined` if it is unknown
+   */
   target (hostId: HostId): TargetState | undefined {
     return this.#targets.get(hostId)
   }
 
-  /** @param target - where a borrowed slot is @param slots - how many were lent by another entry host */
+  /**
+   * Adds slots that another entry host has lent, and starts queued requests on them.
+   *
+   * @param target - the target that the slots belong to
+   * @param slots - number of borrowed slots
+   */
   addBorrowedSlots (target: TargetAddress, slots: number): void {
     this.#stateOf(target).borrowedSlots += slots
     this.#states = [...this.#targets.values()]
@@ -112,11 +122,11 @@
   }
 
   /**
-   * Waits for a slot.
+   * Acquires a slot, queueing the request until one is free.
    *
-   * @param request - who wants it
-   * @returns the slot, to be given back with {@link release}
-   * @throws QuillscaleError `no-target`, `overloaded`, `deadline-not-run` or `caller-gone`, all truly not run
+   * @param request - the request that needs a slot
+   * @returns the slot, which must be released with {@link release}
+   * @throws QuillscaleError `no-target`, `overloaded`, `deadline-not-run` or `caller-gone`; in all cases the request has not been run
    */
   acquire (request: SlotRequest): Promise<HeldSlot> {
     const nowMs = this.#options.nowMs()
@@ -128,16 +138,16 @@
       }
     }
     const hasUntriedTarget = this.#states.some((state) => !state.isLeaving && !request.excludedHostIds.has(state.target.hostId))
-    if (!hasUntriedTarget && this.#options.canBorrow?.() !== true) return Promise.reject(new QuillscaleError('no-target', 'no target of the service is in service', { retryAfterMs: DEFAULT_RETRY_AFTER_MS }))
+    if (!hasUntriedTarget && this.#options.canBorrow?.() !== true) return Promise.reject(new QuillscaleError('no-target', 'no target is left that the request could be sent to, and no slot can be borrowed', { retryAfterMs: DEFAULT_RETRY_AFTER_MS }))
     return this.#enqueue(request, nowMs)
   }
 
   /**
-   * Gives a slot back.
+   * Releases a slot and records the result of its request.
    *
    * @param slot - the slot
-   * @param request - who had it
-   * @param result - what became of the request
+   * @param request - the request that occupied it
+   * @param result - result of the request at the target
    */
   release (slot: HeldSlot, request: SlotRequest, result: TargetResult | 'not-sent'): void {
     const nowMs = this.#options.nowMs()
@@ -145,8 +155,8 @@
     if (result === 'answered') this.#queue.recordCompletion(request, tookMs)
     if (result !== 'not-sent') slot.state.recordResult(result, tookMs, nowMs)
     if (result === 'refused' || (result === 'failed' && nowMs >= request.deadlineMs)) {
-      // The target is full, or goes on with what nobody waits for: the slot is not free yet, and trying it at once would
-      // burn the retries of one request after the other.
+      // The target is full, or still runs a request whose deadline has passed. The slot is not free yet, and reusing it
+      // at once would use up the retries of one request after the other.
       setTimeout(() => this.#freeSlot(slot), Math.min(MAX_SLOT_RELEASE_DELAY_MS, this.#queue.serviceTimeMs)).unref()
       return
     }
@@ -158,7 +168,7 @@
     this.dispatch()
   }
 
-  /** Starts waiting requests while slots are free. */
+  /** Starts queued requests while slots are free. */
   dispatch (): void {
     const nowMs = this.#options.nowMs()
     while (this.#queue.length > 0) {
@@ -167,20 +177,20 @@
       const { next, expired } = this.#queue.dequeue(nowMs)
       for (const waiting of expired) this.#refuse(waiting, 'deadline-not-run')
       if (next === undefined) break
-      // A target that was tried before is better than none: it may have been full only then.
+      // If only targets are left that the request has already tried, it uses one again: it may have been full only then.
       const state = chooseTarget(this.#states, next.item.request.excludedHostIds, nowMs, this.#options.random) ?? available
       next.item.resolve(this.#occupySlot(state, nowMs))
     }
     this.#reportShortage(nowMs)
   }
 
-  /** Notes how much is asked for; called now and then. */
+  /** Adds the current demand to the demand estimate; called periodically. */
   sampleDemand (): void {
     const inUse = this.#states.reduce((sum, state) => sum + state.inFlight, 0)
     this.demand.addSample(inUse + this.#queue.length, this.#options.nowMs())
   }
 
-  /** Refuses what can no longer meet its deadline; called now and then, so that refusals don't wait for a slot. */
+  /** Refuses queued requests that can no longer meet their deadline. Called periodically, so that refusals don't wait for a free slot. */
   refuseExpired (): void {
     const nowMs = this.#options.nowMs()
     const late = this.#queue.removeMatching(({ request }) => nowMs + this.#queue.serviceTimeMs > request.deadlineMs)
@@ -188,10 +198,10 @@
   }
 
   /**
-   * Takes free slots out of this entry host's share for another one.
+   * Lends free slots to another entry host, at most half of the spare ones, rounded up.
    *
-   * @param wanted - how many
-   * @returns which slots were lent
+   * @param wanted - number of slots that the other entry host asks for
+   * @returns the lent slots by target
    */
   lendSlots (wanted: number): Array<{ target: TargetAddress, slots: number }> {
     const lent: Array<{ target: TargetAddress, slots: number }> = []
@@ -208,7 +218,12 @@
     return lent
   }
 
-  /** @param hostId - the target's host @param slots - how many slots came back */
+  /**
+   * Takes back lent slots and starts queued requests on them.
+   *
+   * @param hostId - host of the target
+   * @param slots - number of returned slots
+   */
   restoreLentSlots (hostId: HostId, slots: number): void {
     const state = this.#targets.get(hostId)
     if (state === undefined) return
@@ -216,7 +231,13 @@
     this.dispatch()
   }
 
-  /** @param hostId - the target's host @param slots - how many borrowed slots are given up, at most those that are idle @returns how many were */
+  /**
+   * Gives up borrowed slots, at most the idle ones.
+   *
+   * @param hostId - host of the target
+   * @param slots - number of slots to give up
+   * @returns how many were given up; all of them if the target is unknown
+   */
   returnBorrowedSlots (hostId: HostId, slots: number): number {
     const state = this.#targets.get(hostId)
     if (state === undefined) return slots
@@ -238,14 +259,14 @@
 
   #removeAbandoned (waiter: Waiter): void {
     const removed = this.#queue.removeMatching((item) => item === waiter)
-    for (const { item } of removed) item.reject(new QuillscaleError('caller-gone', 'the caller left while its request waited', { outcome: 'not-run' }))
+    for (const { item } of removed) item.reject(new QuillscaleError('caller-gone', 'the caller disconnected while its request was queued', { outcome: 'not-run' }))
   }
 
   #refuse (waiting: QueuedRequest<Waiter>, reason: 'overloaded' | 'deadline-not-run'): void {
     const slots = this.usableSlots
     const waitMs = this.#queue.estimateWaitMs(waiting.request.priority, slots)
     const retryAfterMs = Math.max(DEFAULT_RETRY_AFTER_MS, Math.ceil(waitMs))
-    waiting.item.reject(new QuillscaleError(reason, `${this.#queue.length} requests wait for ${slots} slots`, { retryAfterMs }))
+    waiting.item.reject(new QuillscaleError(reason, `request not run: ${this.#queue.length} other requests are queued for ${slots} slots`, { retryAfterMs }))
   }
 
   #reportShortage (nowMs: number): void {
@@ -269,7 +290,14 @@
   }
 }
 
-/** @param classes - a service's classes @param name - the wanted one, `undefined` for the first @returns it, `undefined` when there is none @public */
+/**
+ * Finds a request class of a service by name.
+ *
+ * @param classes - request classes of the service
+ * @param name - name of the class; `undefined` for the first class
+ * @returns the class, `undefined` if there is none of that name
+ * @public
+ */
 export function findRequestClass (classes: readonly RequestClass[], name: string | undefined): RequestClass | undefined {
   return name === undefined ? classes[0] : classes.find((candidate) => candidate.name === name)
 }
--- a/packages/routing/src/lib/TargetState.ts
+++ b/packages/routing/src/lib/TargetState.ts
@@ -1,11 +1,11 @@
 /**
- * What one entry host knows of one target: its slots, its latency and how often it fails.
+ * Tracks the slots, latency and failures of one target, as observed by one entry host.
  *
  * @module
  */
 import type { AvailabilityZone, HostId } from '@quillscale/model'
 
-/** Where a target is. @public */
+/** Location and network address of a target. @public */
 export interface TargetAddress {
   readonly hostId: HostId
   readonly availabilityZone: AvailabilityZone
@@ -13,51 +13,51 @@
   readonly port: number
 }
 
-/** How fast estimates follow and when a target is avoided. @public */
+/** Smoothing of the health estimates, and rules for ejecting a target, that is, not sending it requests for a while. @public */
 export interface TargetHealthOptions {
-  /** Weight of a new sample; 0.1 by default. */
+  /** Weight of a new sample in the moving averages; 0.1 by default. */
   readonly smoothing: number
-  /** Failures in a row after which a target is rested; 5 by default. */
+  /** Consecutive failures after which a target is ejected; 5 by default. */
   readonly ejectAfterFailures: number
-  /** The first rest; doubles with each further one, up to 32 times; 1000 by default. */
+  /** Duration of the first ejection; doubles with each further one, up to 32 times this value; 1000 by default. */
   readonly baseEjectionMs: number
 }
 
-/** The documented defaults. @public */
+/** Default settings. @public */
 export const TARGET_HEALTH_DEFAULTS: TargetHealthOptions = { smoothing: 0.1, ejectAfterFailures: 5, baseEjectionMs: 1000 }
 const MAX_EJECTION_FACTOR = 32
 const MIN_SUCCESS_SHARE = 0.02
 
-/** What became of one request at a target. @public */
+/** Result of one request that was sent to a target. @public */
 export type TargetResult = 'answered' | 'failed' | 'refused'
 
-/** A target as one entry host sees it. @public */
+/** Slots and health of one target at one entry host. @public */
 export class TargetState {
-  /** Slots this entry host may use by its share of the zone. */
+  /** This entry host's share of the target's slots, including slots lent to others. */
   allottedSlots = 0
   /** Slots lent to other entry hosts. */
   lentSlots = 0
   /** Slots borrowed from other entry hosts. */
   borrowedSlots = 0
-  /** Requests that this entry host has sent and that are not finished. */
+  /** Slots that requests of this entry host occupy. */
   inFlight = 0
-  /** The target gets no new work. */
+  /** Whether the target is shutting down; it gets no new requests. */
   isLeaving = false
-  /** Estimated time of an answer; only answers count, so that failing fast does not look good. */
+  /** Moving average of the response time, 0 before the first. Failures don't count, so a target that fails fast doesn't look fast. */
   latencyMs = 0
-  /** Estimated share of requests that succeed. */
+  /** Moving average of the share of requests that succeed. */
   successShare = 1
-  /** No work is sent before this time, unless too many targets rest. */
+  /** The target is ejected until this time; it is used all the same if too many targets are ejected at once. */
   ejectedUntilMs = 0
-  /** When anything was last heard from it. */
+  /** Time of the last request result or successful probe. */
   lastResponseMs = 0
   #consecutiveFailures = 0
   #ejectionFactor = 1
   readonly #options: TargetHealthOptions
 
   /**
-   * @param target - where it is
-   * @param options - how its health is estimated
+   * @param target - location and address of the target
+   * @param options - settings that override the defaults
    */
   constructor (readonly target: TargetAddress, options: Partial<TargetHealthOptions> = {}) {
     this.#options = { ...TARGET_HEALTH_DEFAULTS, ...options }
@@ -68,22 +68,22 @@
     return Math.max(0, this.allottedSlots - this.lentSlots) + this.borrowedSlots
   }
 
-  /** Slots that are free now. */
+  /** Slots that are free now; none while the target is leaving. */
   get freeSlots (): number {
     return this.isLeaving ? 0 : Math.max(0, this.usableSlots - this.inFlight)
   }
 
-  /** Slots that are free now and may be lent: what is borrowed is not passed on. */
+  /** Free slots that may be lent to other entry hosts; borrowed slots are not lent on. */
   get lendableSlots (): number {
     return Math.max(0, this.freeSlots - this.borrowedSlots)
   }
 
   /**
-   * Notes what became of a request.
+   * Updates the health estimates with the result of a request.
    *
-   * @param result - what
-   * @param tookMs - from sending to the end of the answer
-   * @param nowMs - the present time
+   * @param result - result of the request
+   * @param tookMs - time from sending the request to the end of the response
+   * @param nowMs - the current time
    */
   recordResult (result: TargetResult, tookMs: number, nowMs: number): void {
     const { smoothing } = this.#options
@@ -95,16 +95,25 @@
     this.successShare = Math.max(MIN_SUCCESS_SHARE, this.successShare + weight * (success - this.successShare))
     this.lastResponseMs = nowMs
     if (result === 'answered') this.#resetFailures()
-    // A target that refuses is full, not broken: it gets less, but it is not rested.
+    // A target that refuses is full, not broken: its success share drops at half weight, but it is not ejected.
     if (result === 'failed') this.#recordFailure(nowMs)
   }
 
-  /** @param nowMs - the present time; a probe found it working */
+  /**
+   * Records a successful probe.
+   *
+   * @param nowMs - the current time
+   */
   recordProbeSuccess (nowMs: number): void {
     this.lastResponseMs = nowMs
   }
 
-  /** @param nowMs - the present time @returns whether it is left alone for now */
+  /**
+   * Tells whether the target is ejected.
+   *
+   * @param nowMs - the current time
+   * @returns whether it is ejected now
+   */
   isEjected (nowMs: number): boolean {
     return this.ejectedUntilMs > nowMs
   }
@@ -118,7 +127,7 @@
   #recordFailure (nowMs: number): void {
     this.#consecutiveFailures++
     if (this.#consecutiveFailures < this.#options.ejectAfterFailures) return
-    // While it rests, what was sent earlier still fails; only failures after a rest lengthen the next.
+    // Requests sent before an ejection may still fail during it; only failures after it has ended lengthen the next one.
     if (this.isEjected(nowMs)) return
     this.ejectedUntilMs = nowMs + this.#options.baseEjectionMs * this.#ejectionFactor
     this.#ejectionFactor = Math.min(MAX_EJECTION_FACTOR, this.#ejectionFactor * 2)
--- a/packages/routing/src/lib/chooseTarget.ts
+++ b/packages/routing/src/lib/chooseTarget.ts
@@ -1,23 +1,23 @@
 /**
- * Chooses the target of a request.
+ * Selects the target of a request.
  *
  * @module
  */
 import type { HostId } from '@quillscale/model'
 import type { TargetState } from './TargetState.js'
 
-/** Decides between targets. @public */
+/** Settings of target selection. @public */
 export interface TargetChoiceOptions {
-  /** The largest share of a service's targets that may rest at once; beyond it the rest are used all the same. 0.5 by default. */
+  /** Largest share of a service's targets that may be ejected at once; the other ejected targets are used all the same. 0.5 by default. */
   readonly maxEjectedShare: number
 }
 
-/** The documented defaults. @public */
+/** Default settings. @public */
 export const TARGET_CHOICE_DEFAULTS: TargetChoiceOptions = { maxEjectedShare: 0.5 }
 
 /**
- * The expected cost of sending one more request: its wait behind what runs there, at the target's pace, divided by the
- * chance that it succeeds, squared so that a target that fails half its work gets a quarter.
+ * Estimates the cost of sending one more request: the target's latency times its load, divided by the square of its
+ * success share. The square sends a target that fails half of its requests only a quarter of the traffic.
  */
 function estimateCost (state: TargetState, typicalLatencyMs: number): number {
   const latencyMs = Math.max(state.latencyMs === 0 ? typicalLatencyMs : state.latencyMs, 0.1)
@@ -25,7 +25,7 @@
   return latencyMs * load / (state.successShare * state.successShare)
 }
 
-/** The mean is enough where a target has no estimate of its own yet; it is not computed otherwise. */
+/** Computes the mean latency, which stands in for targets without an estimate of their own. Called only if there are such. */
 function meanKnownLatencyMs (states: readonly TargetState[]): number {
   let sumMs = 0
   let knownCount = 0
@@ -37,7 +37,7 @@
   return knownCount === 0 ? 1 : sumMs / knownCount
 }
 
-/** Rested targets are left out, but never so many that the others drown. */
+/** Leaves out ejected targets, the least healthy first, but never so many that the remaining targets would be overloaded. */
 function excludeEjected (states: readonly TargetState[], nowMs: number, options: TargetChoiceOptions): TargetState[] {
   const ejected = states.filter((state) => state.isEjected(nowMs))
   const maxEjected = Math.floor(states.length * options.maxEjectedShare)
@@ -47,16 +47,16 @@
 }
 
 /**
- * Chooses by the power of two choices among targets with a free slot.
+ * Chooses a target with a free slot by the power of two random choices.
  *
- * Two draws rather than the best of all: entry hosts that decide alone do not all run to the one target that looks best.
+ * Choosing the best of all targets instead would make entry hosts, which decide independently, all pick the same target.
  *
- * @param states - the service's targets, those with lent-in slots of other zones too
- * @param excluded - targets that were tried already
- * @param nowMs - the present time
- * @param random - draws from 0 to 1
- * @param options - bounds, the defaults without them
- * @returns a target with a free slot, `undefined` when there is none
+ * @param states - the service's targets, including targets in other zones with borrowed slots
+ * @param excluded - hosts of targets that the request has already tried
+ * @param nowMs - the current time
+ * @param random - returns a random number from 0 to below 1
+ * @param options - settings; the defaults if omitted
+ * @returns a target with a free slot, `undefined` if there is none
  * @public
  */
 export function chooseTarget (
--- a/packages/routing/src/lib/computeSlotShare.ts
+++ b/packages/routing/src/lib/computeSlotShare.ts
@@ -1,5 +1,5 @@
 /**
- * Divides a target's slots among the entry hosts of its zone without a word between them.
+ * Divides a target's slots among the entry hosts of its availability zone without any communication between them.
  *
  * @module
  */
@@ -9,14 +9,14 @@
 /**
  * Computes one entry host's share of a target's slots.
  *
- * The remainder goes by rendezvous order, so that it falls on different entry hosts for different targets and a change
- * of members moves little. The shares of all members sum to the slots as long as members see the same view; where views
- * differ, the target's own refusal bounds what it runs.
+ * The remainder is assigned by rendezvous hashing: different targets give it to different entry hosts, and a membership
+ * change moves few slots. The shares add up to `slots` as long as all members have the same view. If views differ, the
+ * target itself limits its load by refusing requests.
  *
- * @param hostId - the target's host
- * @param slots - what the target runs at once
- * @param members - the zone's working entry hosts, this one among them
- * @param selfId - this entry host
+ * @param hostId - host of the target
+ * @param slots - how many requests the target runs at once
+ * @param members - the reachable entry hosts of the zone, including this one
+ * @param selfId - id of this entry host
  * @returns how many slots this entry host may use
  * @public
  */
--- a/packages/routing/src/test/AdmissionQueue.test.ts
+++ b/packages/routing/src/test/AdmissionQueue.test.ts
@@ -4,23 +4,23 @@
 const SERVICE_MS = 10
 const SLOTS = 4
 
-interface Load { readonly tenant: string, readonly weight?: number, readonly perTick: number, readonly priority?: AdmissionRequest['priority'] }
+interface TenantLoad { readonly tenant: string, readonly weight?: number, readonly perTick: number, readonly priority?: AdmissionRequest['priority'] }
 interface Case {
   readonly name: string
-  readonly loads: Load[]
-  /** Wanted share of the slots of each tenant, and how far it may be off. */
+  readonly loads: TenantLoad[]
+  /** Expected share of the executed requests for each tenant. */
   readonly shares: Record<string, number>
 }
 
 const CASES: Case[] = [
-  { name: 'two equal tenants, one asking ten times as much', loads: [{ tenant: 'a', perTick: 40 }, { tenant: 'b', perTick: 4 }], shares: { a: 0.5, b: 0.5 } },
-  { name: 'weights of 3 and 1', loads: [{ tenant: 'a', weight: 3, perTick: 20 }, { tenant: 'b', weight: 1, perTick: 20 }], shares: { a: 0.75, b: 0.25 } },
-  { name: 'a tenant below its share gets all it asks for', loads: [{ tenant: 'a', perTick: 40 }, { tenant: 'b', perTick: 1 }], shares: { a: 0.75, b: 0.25 } },
-  { name: 'urgent before batch, which is not starved', loads: [{ tenant: 'a', perTick: 20, priority: 'urgent' }, { tenant: 'b', perTick: 20, priority: 'batch' }], shares: { a: 0.97, b: 0.03 } }
+  { name: 'two tenants of equal weight, one sending ten times as many requests', loads: [{ tenant: 'a', perTick: 40 }, { tenant: 'b', perTick: 4 }], shares: { a: 0.5, b: 0.5 } },
+  { name: 'two tenants with weights of 3 and 1', loads: [{ tenant: 'a', weight: 3, perTick: 20 }, { tenant: 'b', weight: 1, perTick: 20 }], shares: { a: 0.75, b: 0.25 } },
+  { name: 'a tenant that needs less than its share gets all it needs', loads: [{ tenant: 'a', perTick: 40 }, { tenant: 'b', perTick: 1 }], shares: { a: 0.75, b: 0.25 } },
+  { name: 'urgent requests run before batch requests without starving them', loads: [{ tenant: 'a', perTick: 20, priority: 'urgent' }, { tenant: 'b', perTick: 20, priority: 'batch' }], shares: { a: 0.97, b: 0.03 } }
 ]
 
-/** Offers each tenant's requests, runs as many as there are slots, and counts who ran. */
-function run (loads: readonly Load[]): Map<string, number> {
+/** Enqueues the requests of each tenant in every tick, runs as many as there are slots, and counts the executed requests by tenant. */
+function simulate (loads: readonly TenantLoad[]): Map<string, number> {
   const queue = new AdmissionQueue<string>({ maxQueued: 64 })
   const ran = new Map<string, number>()
   let nowMs = 0
@@ -41,26 +41,26 @@
 
 describe('AdmissionQueue', () => {
   for (const { name, loads, shares } of CASES) {
-    it(`shares fairly: ${name}`, () => {
-      const ran = run(loads)
+    it(`shares slots fairly: ${name}`, () => {
+      const ran = simulate(loads)
       const total = [...ran.values()].reduce((sum, count) => sum + count, 0)
       for (const [tenant, share] of Object.entries(shares)) expect((ran.get(tenant) ?? 0) / total, tenant).to.be.closeTo(share, 0.05)
     })
   }
 
   it('keeps all slots busy under overload', () => {
-    const total = [...run([{ tenant: 'a', perTick: 100 }]).values()][0]
+    const total = [...simulate([{ tenant: 'a', perTick: 100 }]).values()][0]
     expect(total).to.be.at.least(500 * SLOTS * 0.98)
   })
 
-  it('refuses at once what cannot meet its deadline', () => {
+  it('refuses a request at once if it cannot meet its deadline', () => {
     const queue = new AdmissionQueue<number>()
     const request: AdmissionRequest = { tenant: 'a', weight: 1, priority: 'normal', deadlineMs: 1000 }
     queue.recordCompletion(request, 600)
     expect(queue.enqueue(request, 1, 1, 0)).to.deep.include({ reason: 'overloaded' })
   })
 
-  it('drops what can no longer meet its deadline instead of running it', () => {
+  it('does not run a queued request that can no longer meet its deadline', () => {
     const queue = new AdmissionQueue<number>()
     queue.enqueue({ tenant: 'a', weight: 1, priority: 'normal', deadlineMs: 100 }, 1, 1, 0)
     const { next, expired } = queue.dequeue(200)
