--- a/packages/entry/src/lib/EntryHost.ts
+++ b/packages/entry/src/lib/EntryHost.ts
@@ -117,7 +117,7 @@
     this.#isStopping = true
     log.info('stopping: leaving the balancer')
     callers.failHealthCheck()
-    mesh.announce()
+    mesh.broadcastHeartbeat()
     await delay(settings.stop.balancerNoticeMs)
     callers.refuseNew()
     const untilMs = clock.monotonicMs() + settings.stop.drainTimeoutMs
--- a/packages/entry/src/lib/ReachableMembers.ts
+++ b/packages/entry/src/lib/ReachableMembers.ts
@@ -43,7 +43,7 @@
 
   /** Working entry hosts of this zone, this one among them. */
   get zoneMembers (): EntryHostId[] {
-    const others = this.#mesh.reachableIn(this.#self.availabilityZone).map(({ entryHostId }) => entryHostId)
+    const others = this.#mesh.listReachable(this.#self.availabilityZone).map(({ entryHostId }) => entryHostId)
     return [this.#self.entryHostId, ...others].sort()
   }
 
@@ -54,7 +54,7 @@
 
   /** Whether another entry host of this zone holds its lease. */
   get isHolderInReach (): boolean {
-    return this.#mesh.reachableIn(this.#self.availabilityZone).some(isHolder)
+    return this.#mesh.listReachable(this.#self.availabilityZone).some(isHolder)
   }
 
   /** Entry hosts of this zone that the platform lists as gone. */
--- a/packages/entry/src/lib/SlotLending.ts
+++ b/packages/entry/src/lib/SlotLending.ts
@@ -131,7 +131,7 @@
     for (const [key, borrower] of this.#lent) {
       const member = members.get(borrower.identity.entryHostId)
       const isGone = member === undefined || member.incarnation !== borrower.identity.incarnation ||
-        (member.state === 'unreachable' && nowMs - member.lastHeardMs > RECLAIM_AFTER_MS)
+        (member.state === 'unreachable' && nowMs - member.lastHeartbeatMs > RECLAIM_AFTER_MS)
       if (!isGone) continue
       for (const loan of borrower.loans) this.#registry().services.get(loan.service)?.router.restoreLentSlots(loan.hostId, loan.slots)
       this.#lent.delete(key)
--- a/packages/entry/src/lib/ZoneDuties.ts
+++ b/packages/entry/src/lib/ZoneDuties.ts
@@ -106,7 +106,7 @@
     const { mesh, self, states, stateStore } = this.#parts
     if (!this.#isHolder) return
     const name = MEMBERS_DOCUMENT_PREFIX + self.availabilityZone
-    const addresses = [self.address, ...mesh.reachableIn(self.availabilityZone).map(({ address }) => address)].sort()
+    const addresses = [self.address, ...mesh.listReachable(self.availabilityZone).map(({ address }) => address)].sort()
     const known = membersSchema.safeParse(states.get(name)?.value)
     if (known.success && known.data.addresses.join() === addresses.join()) return
     await stateStore.update(name, () => ({ revision: (states.get(name)?.revision ?? 0) + 1, addresses }))
--- a/packages/entry/src/lib/createEntryHostParts.ts
+++ b/packages/entry/src/lib/createEntryHostParts.ts
@@ -164,7 +164,7 @@
     mayTry: () => !isStopping() && !members.isHolderInReach,
     onChange: (isHeld) => {
       log.info({ lease: 'zone', isHeld }, isHeld ? 'zone lease taken' : 'zone lease lost')
-      mesh.announce()
+      mesh.broadcastHeartbeat()
     }
   })
 }
--- a/packages/entry/src/lib/createPeerMesh.ts
+++ b/packages/entry/src/lib/createPeerMesh.ts
@@ -48,7 +48,7 @@
     bindAddress: peers.bindAddress,
     tlsCa: peers.caFile === undefined ? undefined : readFileSync(peers.caFile, 'utf8')
   }, {
-    ownStatus: () => ownStatus(parts(), isStopping()),
+    getOwnStatus: () => ownStatus(parts(), isStopping()),
     isStopping,
     onLinked: (peer) => { void greetPeer(parts(), peer) },
     onHeartbeat: (peer, status) => hear(parts(), peer, status),
@@ -58,7 +58,7 @@
       if (handler === undefined) throw new QuillscaleError('peer-protocol', `unknown topic ${topic}`)
       return handler(peer, body)
     },
-    onProblem: (detail) => log.warn({ detail }, 'peer problem')
+    onPeerError: (detail) => log.warn({ detail }, 'peer problem')
   })
 }
 
--- a/packages/membership/src/lib/MembershipView.ts
+++ b/packages/membership/src/lib/MembershipView.ts
@@ -12,7 +12,7 @@
 /** Another entry host. @public */
 export interface Member extends PeerIdentity {
   readonly state: MemberState
-  readonly lastHeardMs: number
+  readonly lastHeartbeatMs: number
   /** What its last heartbeat told. */
   readonly status: unknown
 }
@@ -28,7 +28,7 @@
 /** The documented defaults. @public */
 export const MEMBERSHIP_DEFAULTS: MembershipOptions = { unreachableAfterMs: 3500, forgetAfterMs: 120_000 }
 
-interface MemberRecord { identity: PeerIdentity, lastHeardMs: number, isStopping: boolean, status: unknown, isLinked: boolean }
+interface MemberRecord { identity: PeerIdentity, lastHeartbeatMs: number, isStopping: boolean, status: unknown, isLinked: boolean }
 
 /** One entry host's view of the others; in a cut, views differ. @public */
 export class MembershipView {
@@ -60,10 +60,10 @@
    * @param nowMs - the present time
    * @returns false for an incarnation older than one already seen: a replaced process that still runs
    */
-  linked (identity: PeerIdentity, nowMs: number): boolean {
-    const known = this.#members.get(identity.entryHostId)
-    if (known !== undefined && known.identity.incarnation > identity.incarnation) return false
-    this.#members.set(identity.entryHostId, { identity, lastHeardMs: nowMs, isStopping: false, status: known?.status, isLinked: true })
+  recordLink (identity: PeerIdentity, nowMs: number): boolean {
+    const existing = this.#members.get(identity.entryHostId)
+    if (existing !== undefined && existing.identity.incarnation > identity.incarnation) return false
+    this.#members.set(identity.entryHostId, { identity, lastHeartbeatMs: nowMs, isStopping: false, status: existing?.status, isLinked: true })
     return true
   }
 
@@ -73,9 +73,9 @@
    * @param entryHostId - who was at its end
    * @param incarnation - of the closed link
    */
-  unlinked (entryHostId: EntryHostId, incarnation: number): void {
-    const known = this.#members.get(entryHostId)
-    if (known?.identity.incarnation === incarnation) known.isLinked = false
+  recordLinkClosed (entryHostId: EntryHostId, incarnation: number): void {
+    const existing = this.#members.get(entryHostId)
+    if (existing?.identity.incarnation === incarnation) existing.isLinked = false
   }
 
   /**
@@ -86,31 +86,31 @@
    * @param status - what it told
    * @param nowMs - the present time
    */
-  heard (entryHostId: EntryHostId, isStopping: boolean, status: unknown, nowMs: number): void {
-    const known = this.#members.get(entryHostId)
-    if (known === undefined) return
-    known.lastHeardMs = nowMs
-    known.isStopping = isStopping
-    known.status = status
+  recordHeartbeat (entryHostId: EntryHostId, isStopping: boolean, status: unknown, nowMs: number): void {
+    const existing = this.#members.get(entryHostId)
+    if (existing === undefined) return
+    existing.lastHeartbeatMs = nowMs
+    existing.isStopping = isStopping
+    existing.status = status
   }
 
   /** @param nowMs - the present time @returns all members that are not forgotten, by id */
   members (nowMs: number): Member[] {
     for (const [id, record] of this.#members) {
-      if (!record.isLinked && nowMs - record.lastHeardMs > this.#options.forgetAfterMs) this.#members.delete(id)
+      if (!record.isLinked && nowMs - record.lastHeartbeatMs > this.#options.forgetAfterMs) this.#members.delete(id)
     }
     return [...this.#members.values()]
-      .map((record) => ({ ...record.identity, state: this.#state(record, nowMs), lastHeardMs: record.lastHeardMs, status: record.status }))
+      .map((record) => ({ ...record.identity, state: this.#state(record, nowMs), lastHeartbeatMs: record.lastHeartbeatMs, status: record.status }))
       .sort((a, b) => a.entryHostId < b.entryHostId ? -1 : 1)
   }
 
   /** @param availabilityZone - the zone @param nowMs - the present time @returns its members that take work */
-  reachableIn (availabilityZone: AvailabilityZone, nowMs: number): Member[] {
+  listReachable (availabilityZone: AvailabilityZone, nowMs: number): Member[] {
     return this.members(nowMs).filter((member) => member.availabilityZone === availabilityZone && member.state === 'reachable')
   }
 
   #state (record: MemberRecord, nowMs: number): MemberState {
-    const isSilent = nowMs - record.lastHeardMs > this.#options.unreachableAfterMs
+    const isSilent = nowMs - record.lastHeartbeatMs > this.#options.unreachableAfterMs
     if (!record.isLinked || isSilent) return 'unreachable'
     return record.isStopping ? 'leaving' : 'reachable'
   }
--- a/packages/membership/src/lib/PeerLink.ts
+++ b/packages/membership/src/lib/PeerLink.ts
@@ -25,7 +25,7 @@
 export class PeerLink {
   #closed: Promise<void> | undefined
   /** When the peer was last heard of, on the mesh's monotonic clock. */
-  lastHeardMs = 0
+  lastReceivedMs = 0
 
   /**
    * @param peer - who is at the other end
@@ -71,10 +71,10 @@
       if (socket.readyState === WebSocket.CONNECTING) await once(socket, 'open')
       const ownHello: Hello = { kind: 'hello', protocolVersion: PEER_PROTOCOL_VERSION, nonce: createNonce(), ...self }
       socket.send(encodePeerMessage(ownHello))
-      const hello = await nextMessage(frames)
+      const hello = await readMessage(frames)
       if (hello?.kind !== 'hello' || hello.protocolVersion !== PEER_PROTOCOL_VERSION) throw new QuillscaleError('peer-protocol', 'no hello')
       socket.send(encodePeerMessage({ kind: 'proof', proof: createProof(keys[0] ?? '', ownHello, hello) }))
-      const proof = await nextMessage(frames)
+      const proof = await readMessage(frames)
       if (proof?.kind !== 'proof' || !isProofValid(keys, hello, ownHello, proof.proof)) throw new QuillscaleError('unauthorized', 'wrong peer key')
       const { kind: _kind, protocolVersion: _version, nonce: _nonce, ...peer } = hello
       return new PeerLink(peer, isDialer, socket, frames, traffic)
@@ -102,7 +102,7 @@
 
   /** @returns the next message, `undefined` when the link closed or the peer sent something else */
   async receive (): Promise<PeerMessage | undefined> {
-    return nextMessage(this.frames, this.traffic)
+    return readMessage(this.frames, this.traffic)
   }
 
   /** Closes the link at once. */
@@ -111,7 +111,7 @@
   }
 }
 
-async function nextMessage (frames: AsyncIterator<unknown[]>, traffic?: LinkTraffic): Promise<PeerMessage | undefined> {
+async function readMessage (frames: AsyncIterator<unknown[]>, traffic?: LinkTraffic): Promise<PeerMessage | undefined> {
   try {
     const next = await frames.next()
     const bytes = next.done === true ? undefined : next.value[0]
--- a/packages/membership/src/lib/PeerMesh.ts
+++ b/packages/membership/src/lib/PeerMesh.ts
@@ -17,7 +17,7 @@
 /** What the mesh calls. @public */
 export interface PeerHandlers {
   /** What this entry host tells with each heartbeat, kept small. */
-  ownStatus(): unknown
+  getOwnStatus(): unknown
   isStopping(): boolean
   /** A link opened: time to compare configurations. */
   onLinked(member: PeerIdentity): void
@@ -28,7 +28,7 @@
   /** A message that wants an answer arrived. */
   onRequest(member: PeerIdentity, topic: string, body: unknown): Promise<unknown>
   /** A link failed or a peer sent nonsense. */
-  onProblem(detail: string): void
+  onPeerError(detail: string): void
 }
 
 /** How the mesh works. @public */
@@ -52,7 +52,7 @@
 }
 
 interface Pending { resolve: (result: Result<unknown, QuillscaleError>) => void, timer: NodeJS.Timeout, link: PeerLink }
-interface Inbound { link: PeerLink, message: PeerMessage }
+interface InboundMessage { link: PeerLink, message: PeerMessage }
 
 const DEFAULT_HEARTBEAT_MS = 1000
 const DEFAULT_CROSS_ZONE_HEARTBEAT_MS = 1500
@@ -67,12 +67,12 @@
   readonly #options: PeerMeshOptions
   readonly #handlers: PeerHandlers
   readonly #links = new Map<EntryHostId, PeerLink>()
-  readonly #dialed = new Set<string>()
+  readonly #dialedAddresses = new Set<string>()
   readonly #pending = new Map<number, Pending>()
-  readonly #stopping = new AbortController()
-  readonly #system: ActorSystemRef = start()
-  readonly #sockets = new WebSocketServer({ noServer: true, maxPayload: MAX_PEER_MESSAGE_BYTES })
-  readonly #blocked = new Set<string>()
+  readonly #stopController = new AbortController()
+  readonly #actorSystem: ActorSystemRef = start()
+  readonly #webSocketServer = new WebSocketServer({ noServer: true, maxPayload: MAX_PEER_MESSAGE_BYTES })
+  readonly #blockedIds = new Set<string>()
   #nextRequestId = 1
   #sequence = 0
 
@@ -85,13 +85,13 @@
     this.#handlers = handlers
     this.view = new MembershipView(options)
     // Every link's task listens to the one signal that ends them.
-    setMaxListeners(0, this.#stopping.signal)
+    setMaxListeners(0, this.#stopController.signal)
   }
 
   /** @param server - the server whose upgrades become links */
   attach (server: Server): void {
     server.on('upgrade', (request: IncomingMessage, socket: Duplex, head: Buffer) => {
-      this.#sockets.handleUpgrade(request, socket, head, (webSocket) => { void this.#serve(webSocket, false) })
+      this.#webSocketServer.handleUpgrade(request, socket, head, (webSocket) => { void this.#runLink(webSocket, false) })
     })
   }
 
@@ -102,9 +102,9 @@
 
   /** @param address - where a peer may listen; kept trying until it is forgotten */
   dial (address: string): void {
-    if (address === this.#options.self.address || this.#dialed.has(address)) return
-    this.#dialed.add(address)
-    void this.#keepLinked(address)
+    if (address === this.#options.self.address || this.#dialedAddresses.has(address)) return
+    this.#dialedAddresses.add(address)
+    void this.#maintainLink(address)
   }
 
   /** @returns all known members */
@@ -144,33 +144,33 @@
         resolve(Err(new QuillscaleError('key-owner-unreachable', `no link to ${entryHostId}`, { outcome: 'not-run' })))
         return
       }
-      const timer = setTimeout(() => this.#settle(id, Err(new QuillscaleError('key-owner-unreachable', `no answer from ${entryHostId}`, { outcome: 'unknown' }))), timeoutMs)
+      const timer = setTimeout(() => this.#resolvePending(id, Err(new QuillscaleError('key-owner-unreachable', `no answer from ${entryHostId}`, { outcome: 'unknown' }))), timeoutMs)
       this.#pending.set(id, { resolve, timer, link })
     })
   }
 
   /** Simulates a cut in tests and the demo: links to these entry hosts are closed and refused. @param ids - whom to cut off @internal */
   block (ids: readonly string[]): void {
-    this.#blocked.clear()
-    for (const id of ids) this.#blocked.add(id)
-    for (const link of this.#links.values()) if (this.#blocked.has(link.peer.entryHostId)) link.close()
+    this.#blockedIds.clear()
+    for (const id of ids) this.#blockedIds.add(id)
+    for (const link of this.#links.values()) if (this.#blockedIds.has(link.peer.entryHostId)) link.close()
   }
 
   /** Closes all links. */
   async close (): Promise<void> {
-    this.#stopping.abort()
+    this.#stopController.abort()
     for (const link of this.#links.values()) link.close()
-    this.#sockets.close()
-    stop(this.#system)
+    this.#webSocketServer.close()
+    stop(this.#actorSystem)
   }
 
-  async #keepLinked (address: string): Promise<void> {
+  async #maintainLink (address: string): Promise<void> {
     const baseMs = this.#options.redialMs ?? DEFAULT_REDIAL_MS
     const startedMs = this.#options.clock.monotonicMs()
     let lastLinkedMs = startedMs
     let factor = 1
-    while (!this.#stopping.signal.aborted) {
-      const link = this.#linkTo(address)
+    while (!this.#stopController.signal.aborted) {
+      const link = this.#findOpenLink(address)
       if (link !== undefined) {
         await link.closed
         lastLinkedMs = this.#options.clock.monotonicMs()
@@ -179,15 +179,15 @@
         const wasLinked = await this.#dialOnce(address)
         factor = wasLinked ? 1 : Math.min(MAX_REDIAL_FACTOR, factor * 2)
       }
-      const isForgotten = this.#options.clock.monotonicMs() - lastLinkedMs > this.view.forgetAfterMs
-      if (isForgotten && !this.#options.seeds.includes(address)) break
+      const isPeerForgotten = this.#options.clock.monotonicMs() - lastLinkedMs > this.view.forgetAfterMs
+      if (isPeerForgotten && !this.#options.seeds.includes(address)) break
       // The spread keeps entry hosts that lost a peer together from dialing it together.
-      await delay(baseMs * factor * (0.75 + Math.random() / 2), this.#stopping.signal)
+      await delay(baseMs * factor * (0.75 + Math.random() / 2), this.#stopController.signal)
     }
-    this.#dialed.delete(address)
+    this.#dialedAddresses.delete(address)
   }
 
-  #linkTo (address: string): PeerLink | undefined {
+  #findOpenLink (address: string): PeerLink | undefined {
     return [...this.#links.values()].find((link) => link.peer.address === address && link.isOpen)
   }
 
@@ -201,43 +201,43 @@
       ...(tlsCa === undefined ? {} : { ca: tlsCa })
     })
     socket.on('error', () => {})
-    return this.#serve(socket, true)
+    return this.#runLink(socket, true)
   }
 
   /** The task of one link, from its handshake until it closes. */
-  async #serve (socket: WebSocket, isDialer: boolean): Promise<boolean> {
+  async #runLink (socket: WebSocket, isDialer: boolean): Promise<boolean> {
     socket.on('error', () => {})
     let link: PeerLink
     try {
       link = await PeerLink.handshake(socket, isDialer, this.#options.self, this.#options.keys, this.traffic)
     } catch (error) {
-      if (error instanceof QuillscaleError) this.#handlers.onProblem(`${error.kind}: ${error.message}`)
+      if (error instanceof QuillscaleError) this.#handlers.onPeerError(`${error.kind}: ${error.message}`)
       return false
     }
-    if (!this.#adopt(link)) {
+    if (!this.#registerLink(link)) {
       link.close()
       return false
     }
     const actor = this.#spawnPeerActor(link)
     const heartbeats = this.#sendHeartbeats(link)
     for (let message = await link.receive(); message !== undefined; message = await link.receive()) dispatch(actor, { link, message })
-    this.#release(link)
+    this.#unregisterLink(link)
     await heartbeats
     stop(actor)
     return true
   }
 
   /** Of two links between the same processes both sides keep the one that the lower id dialed. */
-  #adopt (link: PeerLink): boolean {
+  #registerLink (link: PeerLink): boolean {
     const { entryHostId } = link.peer
     const ownId = this.#options.self.entryHostId
-    if (entryHostId === ownId || this.#blocked.has(entryHostId) || this.#stopping.signal.aborted) return false
+    if (entryHostId === ownId || this.#blockedIds.has(entryHostId) || this.#stopController.signal.aborted) return false
     const existing = this.#links.get(entryHostId)
     const isSameProcess = existing?.isOpen === true && existing.peer.incarnation === link.peer.incarnation
-    const lowerIdDialed = link.isDialer === (ownId < entryHostId)
-    if (isSameProcess && !lowerIdDialed) return false
-    if (!this.view.linked(link.peer, this.#options.clock.monotonicMs())) return false
-    link.lastHeardMs = this.#options.clock.monotonicMs()
+    const isDialedByLowerId = link.isDialer === (ownId < entryHostId)
+    if (isSameProcess && !isDialedByLowerId) return false
+    if (!this.view.recordLink(link.peer, this.#options.clock.monotonicMs())) return false
+    link.lastReceivedMs = this.#options.clock.monotonicMs()
     this.#links.set(entryHostId, link)
     existing?.close()
     this.dial(link.peer.address)
@@ -246,70 +246,70 @@
     return true
   }
 
-  #release (link: PeerLink): void {
+  #unregisterLink (link: PeerLink): void {
     link.close()
     for (const [id, pending] of this.#pending) {
-      if (pending.link === link) this.#settle(id, Err(new QuillscaleError('key-owner-unreachable', 'the link broke', { outcome: 'unknown' })))
+      if (pending.link === link) this.#resolvePending(id, Err(new QuillscaleError('key-owner-unreachable', 'the link broke', { outcome: 'unknown' })))
     }
     if (this.#links.get(link.peer.entryHostId) !== link) return
     this.#links.delete(link.peer.entryHostId)
-    this.view.unlinked(link.peer.entryHostId, link.peer.incarnation)
+    this.view.recordLinkClosed(link.peer.entryHostId, link.peer.incarnation)
   }
 
   async #sendHeartbeats (link: PeerLink): Promise<void> {
     const isSameZone = link.peer.availabilityZone === this.#options.self.availabilityZone
     const intervalMs = isSameZone ? this.#options.heartbeatMs ?? DEFAULT_HEARTBEAT_MS : this.#options.crossZoneHeartbeatMs ?? DEFAULT_CROSS_ZONE_HEARTBEAT_MS
-    while (link.isOpen && !this.#stopping.signal.aborted) {
+    while (link.isOpen && !this.#stopController.signal.aborted) {
       // A cut swallows what is sent without closing anything: a silent link is closed, so that nobody waits for answers on it.
-      if (this.#options.clock.monotonicMs() - link.lastHeardMs > this.view.unreachableAfterMs) return link.close()
-      link.send({ kind: 'heartbeat', sequence: this.#sequence++, isStopping: this.#handlers.isStopping(), status: this.#handlers.ownStatus() })
-      await delay(intervalMs, this.#stopping.signal)
+      if (this.#options.clock.monotonicMs() - link.lastReceivedMs > this.view.unreachableAfterMs) return link.close()
+      link.send({ kind: 'heartbeat', sequence: this.#sequence++, isStopping: this.#handlers.isStopping(), status: this.#handlers.getOwnStatus() })
+      await delay(intervalMs, this.#stopController.signal)
     }
   }
 
   /** Sends heartbeats to all at once, when something they tell must not wait. */
-  announce (): void {
-    const message: PeerMessage = { kind: 'heartbeat', sequence: this.#sequence++, isStopping: this.#handlers.isStopping(), status: this.#handlers.ownStatus() }
+  broadcastHeartbeat (): void {
+    const message: PeerMessage = { kind: 'heartbeat', sequence: this.#sequence++, isStopping: this.#handlers.isStopping(), status: this.#handlers.getOwnStatus() }
     for (const link of this.#links.values()) link.send(message)
   }
 
   /** Each peer has an actor: its messages are handled in order, one at a time, apart from other peers'. */
-  #spawnPeerActor (link: PeerLink): Ref<Inbound> {
-    return spawnStateless(this.#system, (inbound: Inbound) => { this.#receive(inbound) }, `${link.peer.entryHostId}-${this.#nextRequestId++}`)
+  #spawnPeerActor (link: PeerLink): Ref<InboundMessage> {
+    return spawnStateless(this.#actorSystem, (inbound: InboundMessage) => { this.#handleMessage(inbound) }, `${link.peer.entryHostId}-${this.#nextRequestId++}`)
   }
 
-  #receive ({ link, message }: Inbound): void {
+  #handleMessage ({ link, message }: InboundMessage): void {
     const { peer } = link
-    link.lastHeardMs = this.#options.clock.monotonicMs()
+    link.lastReceivedMs = this.#options.clock.monotonicMs()
     switch (message.kind) {
       case 'heartbeat':
-        this.view.heard(peer.entryHostId, message.isStopping, message.status, this.#options.clock.monotonicMs())
+        this.view.recordHeartbeat(peer.entryHostId, message.isStopping, message.status, this.#options.clock.monotonicMs())
         this.#handlers.onHeartbeat(peer, message.status)
         break
       case 'notice':
-        if (message.topic === MEMBERS_TOPIC) this.#learnMembers(message.body)
+        if (message.topic === MEMBERS_TOPIC) this.#dialMembers(message.body)
         else this.#handlers.onNotice(peer, message.topic, message.body)
         break
       case 'request':
-        void this.#answer(link, message.id, message.topic, message.body)
+        void this.#handleRequest(link, message.id, message.topic, message.body)
         break
       case 'response': {
         const result = message.error === undefined ? Ok(message.body) : Err(new QuillscaleError(message.error as ErrorKind, String(message.body)))
-        this.#settle(message.id, result)
+        this.#resolvePending(message.id, result)
         break
       }
       default:
-        this.#handlers.onProblem(`peer-protocol: ${message.kind} out of order from ${peer.entryHostId}`)
+        this.#handlers.onPeerError(`peer-protocol: ${message.kind} out of order from ${peer.entryHostId}`)
         link.close()
     }
   }
 
-  #learnMembers (body: unknown): void {
+  #dialMembers (body: unknown): void {
     if (!Array.isArray(body)) return
     for (const address of body.slice(0, 1000)) if (typeof address === 'string' && address.length < 256) this.dial(address)
   }
 
-  async #answer (link: PeerLink, id: number, topic: string, body: unknown): Promise<void> {
+  async #handleRequest (link: PeerLink, id: number, topic: string, body: unknown): Promise<void> {
     try {
       link.send({ kind: 'response', id, body: await this.#handlers.onRequest(link.peer, topic, body) })
     } catch (error) {
@@ -318,7 +318,7 @@
     }
   }
 
-  #settle (id: number, result: Result<unknown, QuillscaleError>): void {
+  #resolvePending (id: number, result: Result<unknown, QuillscaleError>): void {
     const pending = this.#pending.get(id)
     if (pending === undefined) return
     this.#pending.delete(id)
@@ -327,7 +327,7 @@
   }
 
   /** @param availabilityZone - a zone @returns its reachable members */
-  reachableIn (availabilityZone: AvailabilityZone): Member[] {
-    return this.view.reachableIn(availabilityZone, this.#options.clock.monotonicMs())
+  listReachable (availabilityZone: AvailabilityZone): Member[] {
+    return this.view.listReachable(availabilityZone, this.#options.clock.monotonicMs())
   }
 }
--- a/packages/membership/src/lib/peerProof.ts
+++ b/packages/membership/src/lib/peerProof.ts
@@ -23,8 +23,8 @@
  * @internal
  */
 export function createProof (key: string, prover: Hello, verifier: Hello): string {
-  const covered = [prover.nonce, verifier.nonce, prover.entryHostId, prover.availabilityZone, prover.incarnation, prover.address]
-  return createHmac('sha256', key).update(JSON.stringify(covered)).digest('hex')
+  const signedFields = [prover.nonce, verifier.nonce, prover.entryHostId, prover.availabilityZone, prover.incarnation, prover.address]
+  return createHmac('sha256', key).update(JSON.stringify(signedFields)).digest('hex')
 }
 
 /**
@@ -39,9 +39,9 @@
  */
 export function isProofValid (keys: readonly string[], prover: Hello, verifier: Hello, proof: string): boolean {
   const received = Buffer.from(proof, 'hex')
-  const matches = keys.map((key) => {
+  const keyMatches = keys.map((key) => {
     const expected = Buffer.from(createProof(key, prover, verifier), 'hex')
     return received.length === expected.length && timingSafeEqual(received, expected)
   })
-  return matches.includes(true)
+  return keyMatches.includes(true)
 }
--- a/packages/membership/src/test/PeerMesh.test.ts
+++ b/packages/membership/src/test/PeerMesh.test.ts
@@ -10,13 +10,13 @@
 
 function handlers (): PeerHandlers {
   return {
-    ownStatus: () => ({}),
+    getOwnStatus: () => ({}),
     isStopping: () => false,
     onLinked: () => {},
     onHeartbeat: () => {},
     onNotice: () => {},
     onRequest: async (_peer, _topic, body) => body,
-    onProblem: () => {}
+    onPeerError: () => {}
   }
 }
 
@@ -63,17 +63,17 @@
 describe('MembershipView', () => {
   const identity = { entryHostId: createEntryHostId('a'), availabilityZone: createAvailabilityZone('z'), incarnation: 5, address: 'x:1' }
   const cases: Array<[string, (view: MembershipView) => void, number, string | undefined]> = [
-    ['is reachable while it is heard', (view) => view.heard(identity.entryHostId, false, {}, 1000), 2000, 'reachable'],
+    ['is reachable while it is heard', (view) => view.recordHeartbeat(identity.entryHostId, false, {}, 1000), 2000, 'reachable'],
     ['is unreachable after silence', () => {}, 3501, 'unreachable'],
-    ['is unreachable once its link closed', (view) => view.unlinked(identity.entryHostId, 5), 100, 'unreachable'],
-    ['stays when an older link of it closes', (view) => view.unlinked(identity.entryHostId, 4), 100, 'reachable'],
-    ['is leaving when it says so', (view) => view.heard(identity.entryHostId, true, {}, 50), 100, 'leaving'],
-    ['is forgotten in the end', (view) => view.unlinked(identity.entryHostId, 5), 120_001, undefined]
+    ['is unreachable once its link closed', (view) => view.recordLinkClosed(identity.entryHostId, 5), 100, 'unreachable'],
+    ['stays when an older link of it closes', (view) => view.recordLinkClosed(identity.entryHostId, 4), 100, 'reachable'],
+    ['is leaving when it says so', (view) => view.recordHeartbeat(identity.entryHostId, true, {}, 50), 100, 'leaving'],
+    ['is forgotten in the end', (view) => view.recordLinkClosed(identity.entryHostId, 5), 120_001, undefined]
   ]
   for (const [name, act, nowMs, state] of cases) {
     it(`${name}`, () => {
       const view = new MembershipView()
-      view.linked(identity, 0)
+      view.recordLink(identity, 0)
       act(view)
       expect(view.members(nowMs)[0]?.state).to.equal(state)
     })
@@ -81,7 +81,7 @@
 
   it('refuses an incarnation that was replaced', () => {
     const view = new MembershipView()
-    view.linked(identity, 0)
-    expect(view.linked({ ...identity, incarnation: 4 }, 1)).to.equal(false)
+    view.recordLink(identity, 0)
+    expect(view.recordLink({ ...identity, incarnation: 4 }, 1)).to.equal(false)
   })
 })
