--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Authenticated links between entry hosts, heartbeats and views.
+ * Authenticated links and heartbeats between entry hosts, and each entry host's view of the others.
  *
  * @module
  */
--- a/packages/membership/src/lib/MembershipView.ts
+++ b/packages/membership/src/lib/MembershipView.ts
@@ -1,41 +1,42 @@
 /**
- * Decides from heartbeats which entry hosts this one can work with.
+ * Determines from links and heartbeats which other entry hosts are reachable.
  *
  * @module
  */
 import type { AvailabilityZone, EntryHostId } from '@quillscale/model'
 import type { PeerIdentity } from './PeerLink.js'
 
-/** What is known of another entry host. `leaving`: it finishes what it has. @public */
+/** State of another entry host. `leaving`: it finishes its running work and takes no new work. @public */
 export type MemberState = 'reachable' | 'leaving' | 'unreachable'
 
-/** Another entry host. @public */
+/** Another entry host, as this one sees it. @public */
 export interface Member extends PeerIdentity {
   readonly state: MemberState
+  /** Time of the last heartbeat, or of the opening of the link if there was none since. */
   readonly lastHeartbeatMs: number
-  /** What its last heartbeat told. */
+  /** Status that its last heartbeat carried. */
   readonly status: unknown
 }
 
-/** When a member counts as unreachable, and when it is forgotten. @public */
+/** Timeouts after which a silent member is unreachable or forgotten. @public */
 export interface MembershipOptions {
-  /** 3500 by default: three heartbeats and a half. */
+  /** Time without a heartbeat after which a member is unreachable; 3500 by default, which is three and a half heartbeats. */
   readonly unreachableAfterMs: number
-  /** 120000 by default; its address is still tried until then. */
+  /** Time without a heartbeat after which a member is forgotten; 120000 by default. Its address is dialed until then. */
   readonly forgetAfterMs: number
 }
 
-/** The documented defaults. @public */
+/** Default timeouts. @public */
 export const MEMBERSHIP_DEFAULTS: MembershipOptions = { unreachableAfterMs: 3500, forgetAfterMs: 120_000 }
 
 interface MemberRecord { identity: PeerIdentity, lastHeartbeatMs: number, isStopping: boolean, status: unknown, isLinked: boolean }
 
-/** One entry host's view of the others; in a cut, views differ. @public */
+/** One entry host's view of the others. During a network partition, the views of entry hosts differ. @public */
 export class MembershipView {
   readonly #members = new Map<EntryHostId, MemberRecord>()
   readonly #options: MembershipOptions
 
-  /** @param options - times, the defaults without them */
+  /** @param options - timeouts that override the defaults */
   constructor (options: Partial<MembershipOptions> = {}) {
     this.#options = {
       unreachableAfterMs: options.unreachableAfterMs ?? MEMBERSHIP_DEFAULTS.unreachableAfterMs,
@@ -43,22 +44,22 @@
     }
   }
 
-  /** After which silence a member counts as unreachable. */
+  /** Time without a heartbeat after which a member is unreachable. */
   get unreachableAfterMs (): number {
     return this.#options.unreachableAfterMs
   }
 
-  /** How long a silent member is remembered. */
+  /** Time without a heartbeat after which a member is forgotten. */
   get forgetAfterMs (): number {
     return this.#options.forgetAfterMs
   }
 
   /**
-   * Notes a new link.
+   * Records that a link to a member has opened.
    *
-   * @param identity - who is at its end
-   * @param nowMs - the present time
-   * @returns false for an incarnation older than one already seen: a replaced process that still runs
+   * @param identity - identity of the peer
+   * @param nowMs - the current time
+   * @returns false if a newer incarnation is known, that is, if the peer is a replaced process that still runs
    */
   recordLink (identity: PeerIdentity, nowMs: number): boolean {
     const existing = this.#members.get(identity.entryHostId)
@@ -68,10 +69,10 @@
   }
 
   /**
-   * Notes that a link closed.
+   * Records that a link to a member has closed. Ignored if a newer incarnation has replaced the member.
    *
-   * @param entryHostId - who was at its end
-   * @param incarnation - of the closed link
+   * @param entryHostId - id of the peer
+   * @param incarnation - incarnation of the peer on the closed link
    */
   recordLinkClosed (entryHostId: EntryHostId, incarnation: number): void {
     const existing = this.#members.get(entryHostId)
@@ -79,12 +80,12 @@
   }
 
   /**
-   * Notes a heartbeat.
+   * Records a heartbeat of a member.
    *
-   * @param entryHostId - who sent it
-   * @param isStopping - whether it leaves
-   * @param status - what it told
-   * @param nowMs - the present time
+   * @param entryHostId - id of the sender
+   * @param isStopping - whether the sender is leaving
+   * @param status - status that the heartbeat carried
+   * @param nowMs - the current time
    */
   recordHeartbeat (entryHostId: EntryHostId, isStopping: boolean, status: unknown, nowMs: number): void {
     const existing = this.#members.get(entryHostId)
@@ -94,7 +95,12 @@
     existing.status = status
   }
 
-  /** @param nowMs - the present time @returns all members that are not forgotten, by id */
+  /**
+   * Removes forgotten members and lists the others.
+   *
+   * @param nowMs - the current time
+   * @returns the members, sorted by id
+   */
   members (nowMs: number): Member[] {
     for (const [id, record] of this.#members) {
       if (!record.isLinked && nowMs - record.lastHeartbeatMs > this.#options.forgetAfterMs) this.#members.delete(id)
@@ -104,7 +110,13 @@
       .sort((a, b) => a.entryHostId < b.entryHostId ? -1 : 1)
   }
 
-  /** @param availabilityZone - the zone @param nowMs - the present time @returns its members that take work */
+  /**
+   * Lists the reachable members of an availability zone; leaving members are not included.
+   *
+   * @param availabilityZone - the availability zone
+   * @param nowMs - the current time
+   * @returns the reachable members, sorted by id
+   */
   listReachable (availabilityZone: AvailabilityZone, nowMs: number): Member[] {
     return this.members(nowMs).filter((member) => member.availabilityZone === availabilityZone && member.state === 'reachable')
   }
--- a/packages/membership/src/lib/PeerMesh.ts
+++ b/packages/membership/src/lib/PeerMesh.ts
@@ -1,5 +1,5 @@
 /**
- * Links this entry host with all others it knows and passes their messages on.
+ * Maintains links from this entry host to all others that it knows, and exchanges messages with them.
  *
  * @module
  */
@@ -14,40 +14,41 @@
 import { PeerLink, type LinkTraffic, type PeerIdentity } from './PeerLink.js'
 import { MAX_PEER_MESSAGE_BYTES, type PeerMessage } from './peerMessages.js'
 
-/** What the mesh calls. @public */
+/** Callbacks of the mesh. @public */
 export interface PeerHandlers {
-  /** What this entry host tells with each heartbeat, kept small. */
+  /** Returns the status to send with each heartbeat; it should be small. */
   getOwnStatus(): unknown
+  /** Returns whether this entry host is leaving, which heartbeats report. */
   isStopping(): boolean
-  /** A link opened: time to compare configurations. */
+  /** Called when a link has opened, so that configurations can be compared. */
   onLinked(member: PeerIdentity): void
-  /** A heartbeat arrived. */
+  /** Called when a heartbeat has arrived. */
   onHeartbeat(member: PeerIdentity, status: unknown): void
-  /** A message without an answer arrived. */
+  /** Called when a message has arrived that expects no response. */
   onNotice(member: PeerIdentity, topic: string, body: unknown): void
-  /** A message that wants an answer arrived. */
+  /** Called when a request has arrived; the returned value is sent as the response. */
   onRequest(member: PeerIdentity, topic: string, body: unknown): Promise<unknown>
-  /** A link failed or a peer sent nonsense. */
+  /** Called when a handshake has failed or a peer has violated the protocol. */
   onPeerError(detail: string): void
 }
 
-/** How the mesh works. @public */
+/** Settings of the mesh. @public */
 export interface PeerMeshOptions extends Partial<MembershipOptions> {
   readonly self: PeerIdentity
-  /** Valid keys; the first is used, all are accepted. */
+  /** Valid keys: the first one creates own proofs, all are accepted from peers. */
   readonly keys: readonly string[]
-  /** Addresses (`host:port`) to try from the start. */
+  /** Addresses (`host:port`) to dial from the start. */
   readonly seeds: readonly string[]
   readonly clock: Clock
-  /** Between entry hosts of one zone; 1000 by default. */
+  /** Heartbeat interval between entry hosts of the same availability zone; 1000 by default. */
   readonly heartbeatMs?: number
-  /** Between zones, where less is shared; 1500 by default. */
+  /** Heartbeat interval between availability zones, which share less state; 1500 by default. */
   readonly crossZoneHeartbeatMs?: number
-  /** Waits before dialing again; doubles up to eight times this; 250 by default. */
+  /** Initial delay before redialing an address; doubles up to eight times this value; 250 by default. */
   readonly redialMs?: number
-  /** Makes links use TLS with these trusted certificates. */
+  /** Trusted CA certificates; if set, outgoing links use TLS. */
   readonly tlsCa?: string | undefined
-  /** Own IP number for outgoing links. */
+  /** Local IP address of outgoing links. */
   readonly bindAddress?: string | undefined
 }
 
@@ -60,7 +61,7 @@
 const MAX_REDIAL_FACTOR = 8
 const MEMBERS_TOPIC = 'members'
 
-/** The links of one entry host. @public */
+/** The links of one entry host to its peers. @public */
 export class PeerMesh {
   readonly view: MembershipView
   readonly traffic: LinkTraffic = { sentBytes: 0, receivedBytes: 0, sentMessages: 0, receivedMessages: 0 }
@@ -77,18 +78,22 @@
   #sequence = 0
 
   /**
-   * @param options - who this is and whom to try
-   * @param handlers - called with what arrives
+   * @param options - settings, including the identity of this entry host
+   * @param handlers - callbacks for links and messages
    */
   constructor (options: PeerMeshOptions, handlers: PeerHandlers) {
     this.#options = options
     this.#handlers = handlers
     this.view = new MembershipView(options)
-    // Every link's task listens to the one signal that ends them.
+    // Every link adds listeners to this one signal, so their number has no fixed limit.
     setMaxListeners(0, this.#stopController.signal)
   }
 
-  /** @param server - the server whose upgrades become links */
+  /**
+   * Accepts links from peers.
+   *
+   * @param server - the HTTP server whose upgrade requests become links
+   */
   attach (server: Server): void {
     server.on('upgrade', (request: IncomingMessage, socket: Duplex, head: Buffer) => {
       this.#webSocketServer.handleUpgrade(request, socket, head, (webSocket) => { void this.#runLink(webSocket, false) })
@@ -100,63 +105,95 @@
     for (const address of this.#options.seeds) this.dial(address)
   }
 
-  /** @param address - where a peer may listen; kept trying until it is forgotten */
+  /**
+   * Dials an address, and redials it until its peer is forgotten; seeds are redialed forever.
+   *
+   * @param address - address (`host:port`) of a possible peer
+   */
   dial (address: string): void {
     if (address === this.#options.self.address || this.#dialedAddresses.has(address)) return
     this.#dialedAddresses.add(address)
     void this.#maintainLink(address)
   }
 
-  /** @returns all known members */
+  /**
+   * Lists the other entry hosts that this one knows.
+   *
+   * @returns the members, sorted by id
+   */
   members (): Member[] {
     return this.view.members(this.#options.clock.monotonicMs())
   }
 
-  /** @param entryHostId - who @returns whether a message can be sent there */
+  /**
+   * Tells whether there is an open link to a peer.
+   *
+   * @param entryHostId - id of the peer
+   * @returns whether messages can be sent to it
+   */
   isLinked (entryHostId: EntryHostId): boolean {
     return this.#links.get(entryHostId)?.isOpen === true
   }
 
-  /** @param entryHostId - to whom @param topic - what about @param body - what @returns whether it was sent */
+  /**
+   * Sends a message that expects no response.
+   *
+   * @param entryHostId - id of the peer
+   * @param topic - topic, which selects the handler
+   * @param body - content of the message
+   * @returns whether the message was sent
+   */
   notify (entryHostId: EntryHostId, topic: string, body: unknown): boolean {
     return this.#links.get(entryHostId)?.send({ kind: 'notice', topic, body }) ?? false
   }
 
-  /** @param topic - what about @param body - what @param filter - to whom; everyone without it */
+  /**
+   * Sends a message that expects no response to several peers.
+   *
+   * @param topic - topic, which selects the handler
+   * @param body - content of the message
+   * @param filter - selects the peers; all linked peers by default
+   */
   broadcast (topic: string, body: unknown, filter: (peer: PeerIdentity) => boolean = () => true): void {
     for (const link of this.#links.values()) if (filter(link.peer)) link.send({ kind: 'notice', topic, body })
   }
 
   /**
-   * Asks a peer.
+   * Sends a request to a peer and waits for the response.
    *
-   * @param entryHostId - whom
-   * @param topic - what about
-   * @param body - what
-   * @param timeoutMs - how long to wait
-   * @returns its answer; the error `key-owner-unreachable` with `not-run` when nothing was sent, with `unknown` when no answer came
+   * @param entryHostId - id of the peer
+   * @param topic - topic, which selects the handler
+   * @param body - content of the request
+   * @param timeoutMs - time to wait for the response
+   * @returns the response or the peer's error; the error `key-owner-unreachable` with outcome `not-run` if the request was not sent,
+   * with outcome `unknown` if no response arrived
    */
   request (entryHostId: EntryHostId, topic: string, body: unknown, timeoutMs: number): Promise<Result<unknown, QuillscaleError>> {
     const link = this.#links.get(entryHostId)
     const id = this.#nextRequestId++
     return new Promise((resolve) => {
       if (link === undefined || !link.send({ kind: 'request', id, topic, body })) {
-        resolve(Err(new QuillscaleError('key-owner-unreachable', `no link to ${entryHostId}`, { outcome: 'not-run' })))
+        resolve(Err(new QuillscaleError('key-owner-unreachable', `no open link to ${entryHostId}`, { outcome: 'not-run' })))
         return
       }
-      const timer = setTimeout(() => this.#resolvePending(id, Err(new QuillscaleError('key-owner-unreachable', `no answer from ${entryHostId}`, { outcome: 'unknown' }))), timeoutMs)
+      const timer = setTimeout(() => this.#resolvePending(id, Err(new QuillscaleError('key-owner-unreachable', `no response from ${entryHostId} before the timeout`, { outcome: 'unknown' }))), timeoutMs)
       this.#pending.set(id, { resolve, timer, link })
     })
   }
 
-  /** Simulates a cut in tests and the demo: links to these entry hosts are closed and refused. @param ids - whom to cut off @internal */
+  /**
+   * Simulates a network partition in tests and the demo: closes and refuses links to the given entry hosts.
+   *
+   * @param ids - ids of the entry hosts to cut off; replaces the ids of the previous call
+   * @internal
+   */
   block (ids: readonly string[]): void {
     this.#blockedIds.clear()
     for (const id of ids) this.#blockedIds.add(id)
     for (const link of this.#links.values()) if (this.#blockedIds.has(link.peer.entryHostId)) link.close()
   }
 
-  /** Closes all links. */
+  /** Stops dialing and closes all links. */
   async close (): Promise<void> {
     this.#stopController.abort()
     for (const link of this.#links.values()) link.close()
@@ -181,7 +218,7 @@
       }
       const isPeerForgotten = this.#options.clock.monotonicMs() - lastLinkedMs > this.view.forgetAfterMs
       if (isPeerForgotten && !this.#options.seeds.includes(address)) break
-      // The spread keeps entry hosts that lost a peer together from dialing it together.
+      // The jitter keeps entry hosts that lost a peer at the same time from redialing it at the same time.
       await delay(baseMs * factor * (0.75 + Math.random() / 2), this.#stopController.signal)
     }
     this.#dialedAddresses.delete(address)
@@ -204,7 +241,7 @@
     return this.#runLink(socket, true)
   }
 
-  /** The task of one link, from its handshake until it closes. */
+  /** Runs one link from its handshake until it closes; returns whether the handshake succeeded and the link was registered. */
   async #runLink (socket: WebSocket, isDialer: boolean): Promise<boolean> {
     socket.on('error', () => {})
     let link: PeerLink
@@ -227,7 +264,7 @@
     return true
   }
 
-  /** Of two links between the same processes both sides keep the one that the lower id dialed. */
+  /** Registers a link unless it is refused. Of two links between the same processes, both sides keep the one that the lower id dialed. */
   #registerLink (link: PeerLink): boolean {
     const { entryHostId } = link.peer
     const ownId = this.#options.self.entryHostId
@@ -249,7 +286,7 @@
   #unregisterLink (link: PeerLink): void {
     link.close()
     for (const [id, pending] of this.#pending) {
-      if (pending.link === link) this.#resolvePending(id, Err(new QuillscaleError('key-owner-unreachable', 'the link broke', { outcome: 'unknown' })))
+      if (pending.link === link) this.#resolvePending(id, Err(new QuillscaleError('key-owner-unreachable', 'the link closed before the response arrived', { outcome: 'unknown' })))
     }
     if (this.#links.get(link.peer.entryHostId) !== link) return
     this.#links.delete(link.peer.entryHostId)
@@ -260,20 +297,20 @@
     const isSameZone = link.peer.availabilityZone === this.#options.self.availabilityZone
     const intervalMs = isSameZone ? this.#options.heartbeatMs ?? DEFAULT_HEARTBEAT_MS : this.#options.crossZoneHeartbeatMs ?? DEFAULT_CROSS_ZONE_HEARTBEAT_MS
     while (link.isOpen && !this.#stopController.signal.aborted) {
-      // A cut swallows what is sent without closing anything: a silent link is closed, so that nobody waits for answers on it.
+      // A network partition drops packets without closing connections. A silent link is closed, so that no request waits on it.
       if (this.#options.clock.monotonicMs() - link.lastReceivedMs > this.view.unreachableAfterMs) return link.close()
       link.send({ kind: 'heartbeat', sequence: this.#sequence++, isStopping: this.#handlers.isStopping(), status: this.#handlers.getOwnStatus() })
       await delay(intervalMs, this.#stopController.signal)
     }
   }
 
-  /** Sends heartbeats to all at once, when something they tell must not wait. */
+  /** Sends a heartbeat to all peers immediately, if a status change must not wait for the next interval. */
   broadcastHeartbeat (): void {
     const message: PeerMessage = { kind: 'heartbeat', sequence: this.#sequence++, isStopping: this.#handlers.isStopping(), status: this.#handlers.getOwnStatus() }
     for (const link of this.#links.values()) link.send(message)
   }
 
-  /** Each peer has an actor: its messages are handled in order, one at a time, apart from other peers'. */
+  /** Creates an actor for a link, so that its messages are handled in order and independently of other peers. */
   #spawnPeerActor (link: PeerLink): Ref<InboundMessage> {
     return spawnStateless(this.#actorSystem, (inbound: InboundMessage) => { this.#handleMessage(inbound) }, `${link.peer.entryHostId}-${this.#nextRequestId++}`)
   }
@@ -299,7 +336,7 @@
         break
       }
       default:
-        this.#handlers.onPeerError(`peer-protocol: ${message.kind} out of order from ${peer.entryHostId}`)
+        this.#handlers.onPeerError(`peer-protocol: unexpected ${message.kind} message from ${peer.entryHostId}`)
         link.close()
     }
   }
@@ -326,7 +363,12 @@
     pending.resolve(result)
   }
 
-  /** @param availabilityZone - a zone @returns its reachable members */
+  /**
+   * Lists the reachable members of an availability zone; leaving members are not included.
+   *
+   * @param availabilityZone - the availability zone
+   * @returns the reachable members, sorted by id
+   */
   listReachable (availabilityZone: AvailabilityZone): Member[] {
     return this.view.listReachable(availabilityZone, this.#options.clock.monotonicMs())
   }
--- a/packages/membership/src/lib/peerMessages.ts
+++ b/packages/membership/src/lib/peerMessages.ts
@@ -1,5 +1,5 @@
 /**
- * The messages between entry hosts, and the check of each.
+ * Schemas and encoding of the messages between entry hosts.
  *
  * @module
  */
@@ -7,9 +7,9 @@
 import { z } from 'zod'
 import { isAvailabilityZone, isEntryHostId, type AvailabilityZone, type EntryHostId } from '@quillscale/model'
 
-/** Grows when messages change in a way that older programs do not understand. @public */
+/** Version of the peer protocol, incremented by changes that older versions do not understand. @public */
 export const PEER_PROTOCOL_VERSION = 1
-/** The largest message, in bytes. @public */
+/** Maximum size of an encoded message. @public */
 export const MAX_PEER_MESSAGE_BYTES = 4 * 1024 * 1024
 
 const helloSchema = z.object({
@@ -18,7 +18,7 @@
   entryHostId: z.custom<EntryHostId>(isEntryHostId),
   availabilityZone: z.custom<AvailabilityZone>(isAvailabilityZone),
   incarnation: z.number().int().nonnegative(),
-  /** Where the sender's peer interface listens. */
+  /** Address (`host:port`) on which the sender accepts links. */
   address: z.string().max(255),
   nonce: z.string().length(32)
 })
@@ -26,9 +26,9 @@
 const heartbeatSchema = z.object({
   kind: z.literal('heartbeat'),
   sequence: z.number().int(),
-  /** The sender finishes what it has and takes no new work. */
+  /** Whether the sender only finishes its running work and takes no new work. */
   isStopping: z.boolean(),
-  /** What the sender tells with each heartbeat, checked by its reader. */
+  /** Status of the sender, validated by the code that uses it. */
   status: z.unknown()
 })
 const noticeSchema = z.object({ kind: z.literal('notice'), topic: z.string().max(64), body: z.unknown() })
@@ -41,17 +41,29 @@
 
 /** A message between entry hosts. @public */
 export type PeerMessage = z.infer<typeof peerMessageSchema>
-/** The first message of a link. @public */
+/** First message that each side sends on a link. @public */
 export type Hello = z.infer<typeof helloSchema>
 
 const packr = new Packr({ useRecords: false })
 
-/** @param message - any message @returns its bytes @public */
+/**
+ * Encodes a message.
+ *
+ * @param message - the message
+ * @returns the encoded message
+ * @public
+ */
 export function encodePeerMessage (message: PeerMessage): Buffer {
   return packr.pack(message)
 }
 
-/** @param bytes - what arrived @returns the message, `undefined` for anything else @public */
+/**
+ * Decodes and validates a message.
+ *
+ * @param bytes - the received bytes
+ * @returns the message, `undefined` if the bytes are not a valid message
+ * @public
+ */
 export function decodePeerMessage (bytes: Buffer): PeerMessage | undefined {
   try {
     const parsed = peerMessageSchema.safeParse(packr.unpack(bytes))
--- a/packages/membership/src/lib/peerProof.ts
+++ b/packages/membership/src/lib/peerProof.ts
@@ -1,5 +1,5 @@
 /**
- * Proves the knowledge of a shared key without sending it.
+ * Challenge-response authentication: proves that a peer knows a shared key without sending the key.
  *
  * @module
  */
@@ -8,13 +8,18 @@
 
 const NONCE_BYTES = 16
 
-/** @returns a number used once, in hexadecimal @internal */
+/**
+ * Creates a random nonce.
+ *
+ * @returns the nonce in hexadecimal
+ * @internal
+ */
 export function createNonce (): string {
   return randomBytes(NONCE_BYTES).toString('hex')
 }
 
 /**
- * Makes the proof of one side: it covers both nonces, so no recorded proof fits another link.
+ * Creates the proof of one side. It covers both nonces, so that a recorded proof cannot be replayed on another link.
  *
  * @param key - the shared key
  * @param prover - the hello of the side that proves
@@ -32,9 +37,9 @@
  *
  * @param keys - the valid keys
  * @param prover - the hello of the side that proves
- * @param verifier - the own hello
- * @param proof - what was received
- * @returns whether it was made with one of the keys
+ * @param verifier - the hello of this side, which checks
+ * @param proof - the received proof in hexadecimal
+ * @returns whether the proof was created with one of the keys
  * @internal
  */
 export function isProofValid (keys: readonly string[], prover: Hello, verifier: Hello, proof: string): boolean {
