--- a/packages/entry/src/lib/Prober.ts
+++ b/packages/entry/src/lib/Prober.ts
@@ -66,7 +66,7 @@
     for (const { router, spec } of registry.services.values()) {
       for (const state of router.targets) {
         const { hostId } = state.target
-        const lastMs = Math.max(state.lastResponseMs, this.#askedMs.get(hostId) ?? -Infinity)
+        const lastMs = Math.max(state.lastResultMs, this.#askedMs.get(hostId) ?? -Infinity)
         const isOwn = state.allottedSlots > 0 && this.#ownerOf(hostId, members) === self
         if (isOwn && nowMs - lastMs > quietMs) due.set(hostId, { state, probePath: spec.probePath })
       }
--- a/packages/routing/src/lib/AdmissionQueue.ts
+++ b/packages/routing/src/lib/AdmissionQueue.ts
@@ -28,7 +28,7 @@
 export interface AdmissionOptions {
   /** Maximum number of queued requests; 256 by default. */
   readonly maxQueued: number
-  /** Every n-th pick takes the lowest queued priority, so that it is not starved; 32 by default. */
+  /** Every n-th pick takes the lowest priority that has queued requests, so that it is not starved; 32 by default. */
   readonly lowestPriorityEvery: number
 }
 
@@ -38,7 +38,7 @@
 const PRIORITIES: ReadonlyArray<RequestClass['priority']> = ['urgent', 'normal', 'batch']
 const SMOOTHING = 0.05
 const MIN_COST_MS = 0.05
-/** Slot times vary, so a request is admitted only if its deadline leaves this many times the estimated slot time. */
+/** Slot times vary, so a request is admitted only if this many times the estimated slot time remains after its estimated wait. */
 const SERVICE_TIME_MARGIN = 3
 
 interface TenantQueue<T> { readonly tenant: string, readonly waiting: Array<QueuedRequest<T>> }
@@ -60,7 +60,7 @@
   #virtualTimeMs = 0
   /** Moving average of the slot time of one request. */
   #serviceTimeMs = 0
-  #lastSweepMs = 0
+  #lastCleanupMs = 0
 
   /** @param options - limits that override the defaults */
   constructor (options: Partial<AdmissionOptions> = {}) {
@@ -222,8 +222,8 @@
   }
 
   #removeIdleShares (nowMs: number): void {
-    if (nowMs - this.#lastSweepMs < SHARE_RETENTION_MS) return
-    this.#lastSweepMs = nowMs
+    if (nowMs - this.#lastCleanupMs < SHARE_RETENTION_MS) return
+    this.#lastCleanupMs = nowMs
     for (const [tenant, share] of this.#shares) if (nowMs - share.lastUsedMs > SHARE_RETENTION_MS) this.#shares.delete(tenant)
   }
 
--- a/packages/routing/src/lib/TargetState.ts
+++ b/packages/routing/src/lib/TargetState.ts
@@ -41,16 +41,16 @@
   borrowedSlots = 0
   /** Slots that requests of this entry host occupy. */
   inFlight = 0
-  /** Whether the target is shutting down; it gets no new requests. */
+  /** Whether the target is leaving service; it gets no new requests. */
   isLeaving = false
   /** Moving average of the response time, 0 before the first. Failures don't count, so a target that fails fast doesn't look fast. */
   latencyMs = 0
-  /** Moving average of the share of requests that succeed. */
+  /** Moving average of the share of requests that succeed, in which refusals have half the weight. */
   successShare = 1
   /** The target is ejected until this time; it is used all the same if too many targets are ejected at once. */
   ejectedUntilMs = 0
   /** Time of the last request result or successful probe. */
-  lastResponseMs = 0
+  lastResultMs = 0
   #consecutiveFailures = 0
   #ejectionFactor = 1
   readonly #options: TargetHealthOptions
@@ -93,7 +93,7 @@
     const success = result === 'answered' ? 1 : 0
     const weight = result === 'refused' ? smoothing / 2 : smoothing
     this.successShare = Math.max(MIN_SUCCESS_SHARE, this.successShare + weight * (success - this.successShare))
-    this.lastResponseMs = nowMs
+    this.lastResultMs = nowMs
     if (result === 'answered') this.#resetFailures()
     // A target that refuses is full, not broken: its success share drops at half weight, but it is not ejected.
     if (result === 'failed') this.#recordFailure(nowMs)
@@ -105,7 +105,7 @@
    * @param nowMs - the current time
    */
   recordProbeSuccess (nowMs: number): void {
-    this.lastResponseMs = nowMs
+    this.lastResultMs = nowMs
   }
 
   /**
