--- a/packages/entry/src/lib/createEntryHostParts.ts
+++ b/packages/entry/src/lib/createEntryHostParts.ts
@@ -161,7 +161,7 @@
     ttlMs: settings.timing.zoneLeaseMs,
     store: platform.keyValueStore,
     clock,
-    mayTry: () => !isStopping() && !members.isHolderInReach,
+    mayAcquire: () => !isStopping() && !members.isHolderInReach,
     onChange: (isHeld) => {
       log.info({ lease: 'zone', isHeld }, isHeld ? 'zone lease taken' : 'zone lease lost')
       mesh.broadcastHeartbeat()
--- a/packages/leases/src/lib/LeaseHolder.ts
+++ b/packages/leases/src/lib/LeaseHolder.ts
@@ -15,11 +15,11 @@
   readonly store: KeyValueStore
   readonly clock: Clock
   /** Whether it is worth trying now: without it every entry host would ask the platform all the time. */
-  readonly mayTry: () => boolean
+  readonly mayAcquire: () => boolean
   /** Called when it becomes held and when it is lost. */
   readonly onChange?: (isHeld: boolean) => void
   /** Called with the fencing token when the lease is taken, with `undefined` once it is over for good; not when a grant pauses. */
-  readonly onTenure?: (fencingToken: number | undefined) => void
+  readonly onTenureChange?: (fencingToken: number | undefined) => void
   /** Called when the store did not do what was asked. */
   readonly onStoreError?: (what: string, error: PlatformError) => void
 }
@@ -31,11 +31,11 @@
 }
 
 /** Share of the lease that is used: the rest covers a store whose clock runs ahead of this host's. */
-const SAFETY_SHARE = 0.9
+const USABLE_TTL_RATIO = 0.9
 /** Renewals in each lease, so that one lost answer does not end it. */
-const RENEWALS_A_LEASE = 4
-/** Looks at a vacant duty in each lease, besides those that {@link LeaseHolder.wake} asks for. */
-const TRIES_A_LEASE = 6
+const RENEWALS_PER_TTL = 4
+/** Looks at a vacant duty in each lease, besides those that {@link LeaseHolder.retryNow} asks for. */
+const ATTEMPTS_PER_TTL = 6
 
 /** Takes, renews and gives up one lease. @public */
 export class LeaseHolder {
@@ -46,7 +46,7 @@
   #validUntilMs = -Infinity
   #wasHeld = false
   #tries = 0
-  #wakeUp: () => void = () => {}
+  #endWait: () => void = () => {}
 
   /** @param options - which lease and how */
   constructor (options: LeaseHolderOptions) {
@@ -66,42 +66,42 @@
   /** @param signal - ends the task, and gives the lease up */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (this.#leaseId === undefined) await this.#tryTake()
+      if (this.#leaseId === undefined) await this.#tryAcquire()
       else void this.#renew(this.#leaseId)
-      this.#report()
-      await this.#pause(signal)
+      this.#notifyChange()
+      await this.#waitForNextCycle(signal)
     }
-    await this.abandon()
+    await this.release()
   }
 
   /** Looks at once whether the lease can be taken; for callers that saw it become vacant. */
-  wake (): void {
-    if (this.#leaseId === undefined) this.#wakeUp()
+  retryNow (): void {
+    if (this.#leaseId === undefined) this.#endWait()
   }
 
   /** Gives the lease up, so that another may take it at once. */
-  async abandon (): Promise<void> {
+  async release (): Promise<void> {
     const leaseId = this.#leaseId
-    this.#drop()
-    this.#report()
+    this.#handleLost()
+    this.#notifyChange()
     if (leaseId === undefined) return
-    const revoked = await this.#options.store.revokeLease(leaseId)
-    if (revoked.err) this.#options.onStoreError?.('the lease could not be ended and will lapse', revoked.val)
+    const revocation = await this.#options.store.revokeLease(leaseId)
+    if (revocation.err) this.#options.onStoreError?.('the lease could not be ended and will lapse', revocation.val)
   }
 
-  async #pause (signal: AbortSignal): Promise<void> {
-    const pauseMs = this.#options.ttlMs / (this.#leaseId === undefined ? TRIES_A_LEASE : RENEWALS_A_LEASE)
-    const woken = new AbortController()
-    this.#wakeUp = () => woken.abort()
-    const stop = (): void => woken.abort()
+  async #waitForNextCycle (signal: AbortSignal): Promise<void> {
+    const pauseMs = this.#options.ttlMs / (this.#leaseId === undefined ? ATTEMPTS_PER_TTL : RENEWALS_PER_TTL)
+    const waitController = new AbortController()
+    this.#endWait = () => waitController.abort()
+    const stop = (): void => waitController.abort()
     signal.addEventListener('abort', stop, { once: true })
-    await delay(signal.aborted ? 0 : pauseMs * (0.8 + Math.random() * 0.4), woken.signal)
+    await delay(signal.aborted ? 0 : pauseMs * (0.8 + Math.random() * 0.4), waitController.signal)
     signal.removeEventListener('abort', stop)
   }
 
-  async #tryTake (): Promise<void> {
-    const { store, clock, key, ttlMs, mayTry } = this.#options
-    if (!mayTry()) return
+  async #tryAcquire (): Promise<void> {
+    const { store, clock, key, ttlMs, mayAcquire } = this.#options
+    if (!mayAcquire()) return
     const startedMs = clock.latestMs()
     const lease = await store.grantLease(ttlMs)
     if (lease.err) {
@@ -112,13 +112,13 @@
     const value = `${this.#options.value}#${++this.#tries}`
     const swap = await store.compareAndSwap({ key, expectedModRevision: 0, value, leaseId: lease.val })
     if (swap.ok && swap.val.swapped) {
-      this.#hold(lease.val, swap.val.modRevision, startedMs)
+      this.#handleAcquired(lease.val, swap.val.modRevision, startedMs)
       return
     }
     // A lost answer is resolved by reading: the key names this process, or the lease is ended.
     const current = swap.err ? await store.get(key) : undefined
-    const isOurs = current?.ok === true && current.val?.value === value
-    if (isOurs && current.val !== undefined) this.#hold(lease.val, current.val.modRevision, startedMs)
+    const isOwnValue = current?.ok === true && current.val?.value === value
+    if (isOwnValue && current.val !== undefined) this.#handleAcquired(lease.val, current.val.modRevision, startedMs)
     else await store.revokeLease(lease.val)
   }
 
@@ -128,28 +128,28 @@
     const renewed = await this.#options.store.renewLease(leaseId)
     // It may have been given up meanwhile.
     if (this.#leaseId !== leaseId) return
-    if (renewed.ok && renewed.val) this.#validUntilMs = Math.max(this.#validUntilMs, startedMs + this.#options.ttlMs * SAFETY_SHARE)
-    else if (renewed.ok) this.#drop()
+    if (renewed.ok && renewed.val) this.#validUntilMs = Math.max(this.#validUntilMs, startedMs + this.#options.ttlMs * USABLE_TTL_RATIO)
+    else if (renewed.ok) this.#handleLost()
     // Without an answer the lease is kept: the grant ends by itself, and comes back if the lease turns out to have waited.
     else this.#options.onStoreError?.('the lease was not renewed', renewed.val)
-    this.#report()
+    this.#notifyChange()
   }
 
-  #hold (leaseId: string, fencingToken: number, startedMs: number): void {
+  #handleAcquired (leaseId: string, fencingToken: number, startedMs: number): void {
     this.#leaseId = leaseId
     this.#fencingToken = fencingToken
-    this.#validUntilMs = startedMs + this.#options.ttlMs * SAFETY_SHARE
-    this.#options.onTenure?.(fencingToken)
+    this.#validUntilMs = startedMs + this.#options.ttlMs * USABLE_TTL_RATIO
+    this.#options.onTenureChange?.(fencingToken)
   }
 
-  #drop (): void {
+  #handleLost (): void {
     const wasHolder = this.#leaseId !== undefined
     this.#leaseId = undefined
     this.#validUntilMs = -Infinity
-    if (wasHolder) this.#options.onTenure?.(undefined)
+    if (wasHolder) this.#options.onTenureChange?.(undefined)
   }
 
-  #report (): void {
+  #notifyChange (): void {
     const isHeld = this.grantAt(this.#options.clock.latestMs()) !== undefined
     if (isHeld !== this.#wasHeld) this.#options.onChange?.(isHeld)
     this.#wasHeld = isHeld
--- a/packages/leases/src/lib/PrefixReplica.ts
+++ b/packages/leases/src/lib/PrefixReplica.ts
@@ -29,11 +29,11 @@
   /** Called with each change; also once after the first list, even if it is empty. */
   readonly onChange: (change: PrefixChange) => void
   /** Called when the store does not answer, and with `undefined` when it does again. */
-  readonly onContact?: (error: PlatformError | undefined) => void
+  readonly onContactChange?: (error: PlatformError | undefined) => void
 }
 
 /** Pauses stay below a second, so that a copy is current again soon after the store is back. */
-const MAX_BACK_OFF_STEP = 2
+const MAX_BACK_OFF_EXPONENT = 2
 
 /** The copy. @public */
 export class PrefixReplica {
@@ -41,11 +41,11 @@
   readonly #options: PrefixReplicaOptions
   #revision = 0
   #isListed = false
-  #hasNews = false
+  #lastWatchHadEvents = false
   #isInContact = true
   #inContactSinceMs = 0
   #confirmedAtMs = -Infinity
-  #relistTriedMs = -Infinity
+  #lastRelistMs = -Infinity
 
   /** @param options - what is followed and how */
   constructor (options: PrefixReplicaOptions) {
@@ -63,7 +63,7 @@
   }
 
   /** @param nowMs - the present monotonic time @returns for how long the store has answered without a break, 0 while it does not */
-  steadyForMs (nowMs: number): number {
+  reachableForMs (nowMs: number): number {
     return this.#isInContact && this.#isListed ? nowMs - this.#inContactSinceMs : 0
   }
 
@@ -75,19 +75,19 @@
       const isRoutine: boolean = !mustList && this.#isRelistDue()
       const error: PlatformError | undefined = await (mustList || isRoutine ? this.#list(signal) : this.#watch(signal))
       if (signal.aborted) return
-      this.#noteContact(error)
-      if (error === undefined && this.#hasNews && this.#options.spacingMs !== undefined) await delay(this.#options.spacingMs, signal)
+      this.#updateContact(error)
+      if (error === undefined && this.#lastWatchHadEvents && this.#options.spacingMs !== undefined) await delay(this.#options.spacingMs, signal)
       // A routine list that fails, as a long one may on a busy link, does not end the watch.
       mustList = error !== undefined && !isRoutine
       failures = error === undefined || error.kind === 'history-gone' ? 0 : failures + 1
-      if (failures > 0) await backOff(Math.min(failures - 1, MAX_BACK_OFF_STEP), signal)
+      if (failures > 0) await backOff(Math.min(failures - 1, MAX_BACK_OFF_EXPONENT), signal)
     }
   }
 
   #isRelistDue (): boolean {
     const nowMs = this.#options.clock.monotonicMs()
-    if (nowMs - this.#relistTriedMs <= this.#options.relistMs) return false
-    this.#relistTriedMs = nowMs
+    if (nowMs - this.#lastRelistMs <= this.#options.relistMs) return false
+    this.#lastRelistMs = nowMs
     return true
   }
 
@@ -97,16 +97,16 @@
     if (listed.err) return listed.val
     if (signal.aborted) return undefined
     const { items, revision } = listed.val
-    const present = new Set(items.map(({ key }) => key))
+    const listedKeys = new Set(items.map(({ key }) => key))
     const changed = items.filter(({ key, modRevision }) => (this.items.get(key)?.modRevision ?? 0) < modRevision)
-    const removed = [...this.items.keys()].filter((key) => !present.has(key))
+    const removed = [...this.items.keys()].filter((key) => !listedKeys.has(key))
     this.#apply(changed, removed)
     this.#revision = revision
     this.#confirmedAtMs = askedMs
-    this.#relistTriedMs = askedMs
-    const isFirst = !this.#isListed
+    this.#lastRelistMs = askedMs
+    const isFirstList = !this.#isListed
     this.#isListed = true
-    if (isFirst || changed.length + removed.length > 0) this.#options.onChange({ changed, removed })
+    if (isFirstList || changed.length + removed.length > 0) this.#options.onChange({ changed, removed })
     return undefined
   }
 
@@ -121,7 +121,7 @@
       if ((this.items.get(key)?.modRevision ?? 0) < modRevision) last.set(key, value === undefined ? undefined : { key, value, modRevision })
     }
     const changed = [...last.values()].filter((item) => item !== undefined)
-    this.#hasNews = watched.val.events.length > 0
+    this.#lastWatchHadEvents = watched.val.events.length > 0
     const removed = [...last].filter(([key, item]) => item === undefined && this.items.has(key)).map(([key]) => key)
     this.#apply(changed, removed)
     this.#revision = Math.max(this.#revision, watched.val.revision)
@@ -134,10 +134,10 @@
     for (const item of changed) this.items.set(item.key, item)
   }
 
-  #noteContact (error: PlatformError | undefined): void {
+  #updateContact (error: PlatformError | undefined): void {
     const isInContact = error === undefined || error.kind === 'history-gone'
     if (isInContact && (!this.#isInContact || this.#inContactSinceMs === 0)) this.#inContactSinceMs = this.#options.clock.monotonicMs()
-    if (isInContact !== this.#isInContact) this.#options.onContact?.(isInContact ? undefined : error)
+    if (isInContact !== this.#isInContact) this.#options.onContactChange?.(isInContact ? undefined : error)
     this.#isInContact = isInContact
   }
 }
--- a/packages/leases/src/test/LeaseHolder.test.ts
+++ b/packages/leases/src/test/LeaseHolder.test.ts
@@ -15,7 +15,7 @@
 const TTL_MS = 400
 
 function holderOf (store: MemoryKeyValueStore, clock: Clock, name: string, ttlMs = 60): LeaseHolder {
-  return new LeaseHolder({ key: 'lease', value: name, ttlMs, store, clock, mayTry: () => true })
+  return new LeaseHolder({ key: 'lease', value: name, ttlMs, store, clock, mayAcquire: () => true })
 }
 
 describe('LeaseHolder', () => {
--- a/packages/ports/src/lib/FleetConfiguration.ts
+++ b/packages/ports/src/lib/FleetConfiguration.ts
@@ -23,10 +23,10 @@
 }
 
 /** A queue may need advice on which workers run a step. @public */
-export interface AdviceTerms {
+export interface PlacementAdviceSettings {
   /** How long the advice service thinks about a call, and about each worker named in it. */
   readonly decisionMs: number
-  readonly eachWorkerMs: number
+  readonly perWorkerMs: number
   readonly validMs: number
 }
 
@@ -49,7 +49,7 @@
   readonly timeoutMs: number
   /** Calls need no key. */
   readonly isPublic?: boolean | undefined
-  readonly advice?: AdviceTerms | undefined
+  readonly advice?: PlacementAdviceSettings | undefined
 }
 
 /** A service: a pool of machines, each with a worker. @public */
--- a/packages/ports/src/lib/KeyValueStore.ts
+++ b/packages/ports/src/lib/KeyValueStore.ts
@@ -24,7 +24,7 @@
   readonly kind: 'unknown-effect' | 'unavailable' | 'history-gone'
   readonly detail: string
   /** Whether it was asked once more, on a connection opened later, and that was not answered either. */
-  readonly isAskedAgain?: boolean
+  readonly wasRetried?: boolean
 }
 
 /** A write that happens only when the key was not changed meanwhile. @public */
--- a/packages/ports/src/lib/RunOrders.ts
+++ b/packages/ports/src/lib/RunOrders.ts
@@ -84,7 +84,7 @@
   /** The worker's own steady clock. */
   readonly clockMs: number
   /** Unix time of the start of the lifetime that answered, `undefined` where workers do not tell. */
-  readonly bornMs?: number | undefined
+  readonly lifetimeStartMs?: number | undefined
   readonly running: readonly RunReport[]
   /** The oldest that were not acknowledged. */
   readonly ended: readonly EndReport[]
@@ -115,5 +115,5 @@
   /** @param worker - where @param run - which @param percent - share at which it may work @param fencingToken - of the sender @returns the clock */
   pace(worker: WorkerInstance, run: RunRef, percent: number, fencingToken: number): Promise<Result<number, RunOrderError>>
   /** @param worker - whose connections are not needed any more */
-  forget(worker: WorkerInstance): void
+  releaseConnections(worker: WorkerInstance): void
 }
--- a/packages/ports/src/lib/WorkerId.ts
+++ b/packages/ports/src/lib/WorkerId.ts
@@ -14,12 +14,12 @@
  * Names one lifetime of a worker: what is remembered of one lifetime says nothing about the next.
  *
  * @param workerId - of the worker
- * @param bornMs - Unix time of its start, `undefined` where workers do not tell; then each lifetime has an id of its own
+ * @param lifetimeStartMs - Unix time of its start, `undefined` where workers do not tell; then each lifetime has an id of its own
  * @returns the lifetime's id
  * @public
  */
-export function createInstanceId (workerId: WorkerId, bornMs: number | undefined): string {
-  return bornMs === undefined ? workerId : `${workerId}${SEPARATOR}${bornMs}`
+export function createInstanceId (workerId: WorkerId, lifetimeStartMs: number | undefined): string {
+  return lifetimeStartMs === undefined ? workerId : `${workerId}${SEPARATOR}${lifetimeStartMs}`
 }
 
 /** @param instanceId - of a lifetime @returns the id of its worker @public */
@@ -29,7 +29,7 @@
 }
 
 /** @param instanceId - of a lifetime @returns Unix time of its start by the worker's clock, `undefined` where its worker did not tell @public */
-export function bornMsOf (instanceId: string): number | undefined {
-  const [, bornMs] = instanceId.split(SEPARATOR)
-  return bornMs === undefined ? undefined : Number(bornMs)
+export function lifetimeStartMsOf (instanceId: string): number | undefined {
+  const [, lifetimeStartMs] = instanceId.split(SEPARATOR)
+  return lifetimeStartMs === undefined ? undefined : Number(lifetimeStartMs)
 }
--- a/packages/scheduler/src/lib/duties/DutyElector.ts
+++ b/packages/scheduler/src/lib/duties/DutyElector.ts
@@ -161,8 +161,8 @@
       ttlMs,
       store,
       clock,
-      mayTry: () => this.#mayAttempt(dutyKey),
-      onTenure: (fencingToken) => this.#handleTenureChange(dutyKey, fencingToken, createTask),
+      mayAcquire: () => this.#mayAttempt(dutyKey),
+      onTenureChange: (fencingToken) => this.#handleTenureChange(dutyKey, fencingToken, createTask),
       onStoreError: (what, error) => log.warn({ dutyKey, error }, what)
     })
     this.#candidacies.set(dutyKey, { holder, stop, done: holder.run(stop.signal), task: undefined })
@@ -212,13 +212,13 @@
       holdsDuty: () => duty.holder.grantAt(clock.latestMs())?.fencingToken === fencingToken,
       onDeposed: () => {
         this.#earliestRetryMs.set(dutyKey, clock.monotonicMs() + DEPOSED_BACKOFF_MS)
-        void duty.holder.abandon()
+        void duty.holder.release()
       }
     })
     duty.task.run().catch((error: unknown) => {
       log.warn({ dutyKey, err: error }, 'duty task failed, releasing the duty')
       duty.task?.close()
-      void duty.holder.abandon()
+      void duty.holder.release()
     })
   }
 
@@ -234,7 +234,7 @@
       }
       const vacancy = this.#vacancies.get(dutyKey) ?? { sinceMs: nowMs, random: random() }
       this.#vacancies.set(dutyKey, vacancy)
-      setTimeout(() => holder.wake(), Math.max(0, this.#earliestAttemptMs(dutyKey, vacancy, nowMs) - nowMs) + 1).unref()
+      setTimeout(() => holder.retryNow(), Math.max(0, this.#earliestAttemptMs(dutyKey, vacancy, nowMs) - nowMs) + 1).unref()
     }
   }
 
--- a/packages/scheduler/src/lib/duties/ServiceScheduler.ts
+++ b/packages/scheduler/src/lib/duties/ServiceScheduler.ts
@@ -335,7 +335,7 @@
     this.#workers.loseExpiredRuns(nowMs)
     if (!this.#inboxReplica.isListed || !this.#registrationReplica.isListed) return
     this.#drainer.reconcile(this.#workers, nowMs)
-    this.#drainer.drainLeavingWorkers(this.#workers.leaving(this.#registrationReplica.steadyForMs(nowMs), nowMs), nowMs)
+    this.#drainer.drainLeavingWorkers(this.#workers.leaving(this.#registrationReplica.reachableForMs(nowMs), nowMs), nowMs)
     this.#placeTasks(nowMs)
     this.#statusWriter.write([...this.#registry.jobs.values()], this.#workers, nowMs)
     this.#removeEndedJobs()
--- a/packages/scheduler/src/lib/records/ConfigurationWatcher.ts
+++ b/packages/scheduler/src/lib/records/ConfigurationWatcher.ts
@@ -58,7 +58,7 @@
         for (const key of removed) this.waves.delete(key)
         options.onChange()
       },
-      onContact: (error) => log.warn({ prefix, error }, error === undefined ? 'store answers again' : 'store does not answer')
+      onContactChange: (error) => log.warn({ prefix, error }, error === undefined ? 'store answers again' : 'store does not answer')
     })
   }
 
--- a/packages/scheduler/src/lib/records/MonitoredStore.ts
+++ b/packages/scheduler/src/lib/records/MonitoredStore.ts
@@ -88,12 +88,12 @@
     return result
   }
 
-  #recordFailure (number: number, { isAskedAgain }: PlatformError): void {
+  #recordFailure (number: number, { wasRetried }: PlatformError): void {
     const isIndependent = this.#consecutiveFailures === 0 || number > this.#startedCallsAtFailure
     if (isIndependent) {
       this.#consecutiveFailures++
       this.#startedCallsAtFailure = this.#startedCalls
     }
-    if (isAskedAgain === true) this.#consecutiveFailures = Math.max(this.#consecutiveFailures, FAILURE_THRESHOLD)
+    if (wasRetried === true) this.#consecutiveFailures = Math.max(this.#consecutiveFailures, FAILURE_THRESHOLD)
   }
 }
--- a/packages/scheduler/src/lib/records/createReplica.ts
+++ b/packages/scheduler/src/lib/records/createReplica.ts
@@ -19,12 +19,12 @@
  * @returns the replica, which the caller has to run
  * @public
  */
-export function createReplica (log: EventLog, options: Omit<PrefixReplicaOptions, 'watchMs' | 'relistMs' | 'onContact'>): PrefixReplica {
+export function createReplica (log: EventLog, options: Omit<PrefixReplicaOptions, 'watchMs' | 'relistMs' | 'onContactChange'>): PrefixReplica {
   const { prefix } = options
   return new PrefixReplica({
     ...options,
     watchMs: WATCH_TIMEOUT_MS,
     relistMs: RELIST_INTERVAL_MS,
-    onContact: (error) => log.warn({ prefix, error }, error === undefined ? 'store answers again' : 'store does not answer')
+    onContactChange: (error) => log.warn({ prefix, error }, error === undefined ? 'store answers again' : 'store does not answer')
   })
 }
--- a/packages/scheduler/src/lib/workers/EndedLifetimes.ts
+++ b/packages/scheduler/src/lib/workers/EndedLifetimes.ts
@@ -6,7 +6,7 @@
  *
  * @module
  */
-import { bornMsOf, workerIdOf, type WorkerId, type WorkerInstance } from '@quillscale/ports'
+import { lifetimeStartMsOf, workerIdOf, type WorkerId, type WorkerInstance } from '@quillscale/ports'
 import type { EventLog } from '../duties/EventLog.js'
 import type { RegisteredWorkers } from './WorkerRegistrations.js'
 
@@ -30,7 +30,7 @@
  * @public
  */
 export function isEndedByMachineList (instanceId: string, listedWallMs: number): boolean {
-  const bornMs = bornMsOf(instanceId)
+  const bornMs = lifetimeStartMsOf(instanceId)
   return bornMs === undefined || bornMs + BIRTH_TIME_MARGIN_MS <= listedWallMs
 }
 
--- a/packages/scheduler/src/lib/workers/RunLossHandler.ts
+++ b/packages/scheduler/src/lib/workers/RunLossHandler.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Clock } from '@quillscale/utils'
-import { bornMsOf, type HoldReport } from '@quillscale/ports'
+import { lifetimeStartMsOf, type HoldReport } from '@quillscale/ports'
 import type { Run } from '@quillscale/policy'
 import type { WorkerLoss } from '../jobs/CrashTracker.js'
 import type { LossEvidence } from '../jobs/JobRegistry.js'
@@ -166,5 +166,5 @@
   if (run.phase === 'recording' || link.hasConfirmed(run)) return false
   if (reason === WORKER_RESTARTED) return true
   // Orders of previous holders found no next lifetime while the machine was down.
-  return reason === MACHINE_GONE && run.phase !== 'unconfirmed' && bornMsOf(run.instanceId) !== undefined
+  return reason === MACHINE_GONE && run.phase !== 'unconfirmed' && lifetimeStartMsOf(run.instanceId) !== undefined
 }
--- a/packages/scheduler/src/lib/workers/WorkerLink.ts
+++ b/packages/scheduler/src/lib/workers/WorkerLink.ts
@@ -5,7 +5,7 @@
  */
 import { setMaxListeners } from 'node:events'
 import { delay, type Clock } from '@quillscale/utils'
-import { bornMsOf, type HoldReport, type RunOrderError, type RunOrders, type WorkerInstance } from '@quillscale/ports'
+import { lifetimeStartMsOf, type HoldReport, type RunOrderError, type RunOrders, type WorkerInstance } from '@quillscale/ports'
 import { type Run, WorkerHealth } from '@quillscale/policy'
 import { WorkerClock } from './WorkerClock.js'
 
@@ -82,7 +82,7 @@
     this.instance = instance
     this.#options = options
     this.openedMs = options.clock.monotonicMs()
-    this.#bornMs = bornMsOf(instance.instanceId)
+    this.#bornMs = lifetimeStartMsOf(instance.instanceId)
     // Many pending orders listen to this signal at a time.
     setMaxListeners(0, this.#stop.signal)
   }
@@ -125,7 +125,7 @@
   /** Stops polling and retrying, and drops pending orders. */
   close (): void {
     this.#stop.abort()
-    this.#options.orders.forget(this.instance)
+    this.#options.orders.releaseConnections(this.instance)
   }
 
   /** Polls the worker with holds until the link is closed. */
@@ -195,7 +195,7 @@
     return this.#mayBeNextLifetime ? 0 : this.#acknowledgedSequence
   }
 
-  #isOtherLifetime ({ bornMs }: HoldReport): boolean {
+  #isOtherLifetime ({ lifetimeStartMs: bornMs }: HoldReport): boolean {
     if (bornMs === undefined) return false
     this.#bornMs ??= bornMs
     return bornMs !== this.#bornMs
--- a/packages/scheduler/src/lib/workers/WorkerTracker.ts
+++ b/packages/scheduler/src/lib/workers/WorkerTracker.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Clock } from '@quillscale/utils'
-import { bornMsOf, workerIdOf, type WorkerId, type WorkerInstance } from '@quillscale/ports'
+import { lifetimeStartMsOf, workerIdOf, type WorkerId, type WorkerInstance } from '@quillscale/ports'
 import { type Run, stepOf } from '@quillscale/policy'
 import type { EventLog } from '../duties/EventLog.js'
 import type { WorkerLoss } from '../jobs/CrashTracker.js'
@@ -354,5 +354,5 @@
 
 /** Tells whether a lifetime is a later one of the same worker. */
 function isNextLifetime (instanceId: string, former: string): boolean {
-  return workerIdOf(instanceId) === workerIdOf(former) && (bornMsOf(instanceId) ?? -Infinity) > (bornMsOf(former) ?? -Infinity)
+  return workerIdOf(instanceId) === workerIdOf(former) && (lifetimeStartMsOf(instanceId) ?? -Infinity) > (lifetimeStartMsOf(former) ?? -Infinity)
 }
--- a/packages/scheduler/src/test/MonitoredStore.test.ts
+++ b/packages/scheduler/src/test/MonitoredStore.test.ts
@@ -12,7 +12,7 @@
 
 const ANSWERED: ReadResult = Ok(undefined)
 const LOST: ReadResult = Err({ kind: 'unknown-effect', detail: 'lost' })
-const LOST_TWICE: ReadResult = Err({ kind: 'unknown-effect', detail: 'lost', isAskedAgain: true })
+const LOST_TWICE: ReadResult = Err({ kind: 'unknown-effect', detail: 'lost', wasRetried: true })
 const REFUSED: ReadResult = Err({ kind: 'unavailable', detail: 'refused' })
 const HISTORY_GONE: ReadResult = Err({ kind: 'history-gone', detail: 'compacted' })
 
--- a/packages/scheduler/src/test/TestService.ts
+++ b/packages/scheduler/src/test/TestService.ts
@@ -5,7 +5,7 @@
  */
 import { decodeJson, delay, Err, Ok, systemClock, type Result } from '@quillscale/utils'
 import {
-  bornMsOf, createInstanceId, workerIdOf, type AccountName, type FleetConfiguration, type KeyValue, type PlatformError, type Transaction,
+  lifetimeStartMsOf, createInstanceId, workerIdOf, type AccountName, type FleetConfiguration, type KeyValue, type PlatformError, type Transaction,
   type TransactionOutcome, type WorkerId, type WorkerInstance
 } from '@quillscale/ports'
 import { MemoryKeyValueStore } from '@quillscale/platform-memory'
@@ -189,7 +189,7 @@
   restartWorker (worker: StandInWorker, isNewRegistered = true, bornMs = Date.now()): StandInWorker {
     worker.crash()
     const { instanceId } = worker.instance
-    const instance: WorkerInstance = { ...worker.instance, instanceId: createInstanceId(workerIdOf(instanceId), Math.max(bornMs, (bornMsOf(instanceId) ?? 0) + 1)), state: 'ready' }
+    const instance: WorkerInstance = { ...worker.instance, instanceId: createInstanceId(workerIdOf(instanceId), Math.max(bornMs, (lifetimeStartMsOf(instanceId) ?? 0) + 1)), state: 'ready' }
     const next = this.runs.add(instance)
     next.clockShiftMs = worker.clockShiftMs - RESTARTED_CLOCK_SHIFT_MS
     if (isNewRegistered) this.list(instance)
--- a/packages/standins/src/lib/StandInRuns.ts
+++ b/packages/standins/src/lib/StandInRuns.ts
@@ -6,8 +6,8 @@
  */
 import { delay, Err, Ok, type Clock, type Result } from '@quillscale/utils'
 import {
-  bornMsOf, workerIdOf, type EndReport, type HoldReport, type HoldRequest, type RunEnd, type RunOrderError, type RunOrders, type RunRef, type RunReport,
-  type RunStart, type WorkerCapacity, type WorkerInstance
+  lifetimeStartMsOf, workerIdOf, type EndReport, type HoldReport, type HoldRequest, type RunEnd, type RunOrderError, type RunOrders, type RunRef,
+  type RunReport, type RunStart, type WorkerCapacity, type WorkerInstance
 } from '@quillscale/ports'
 
 /** What a task is told to do; sent as JSON in the command. @public */
@@ -198,7 +198,7 @@
       ({ taskKey: record.taskKey, runNumber: record.runNumber, checkpoint: '', percent: percentOf(nowMs), load: 0 }))
     return Ok({
       clockMs: this.#clockMs(),
-      bornMs: bornMsOf(this.instance.instanceId),
+      lifetimeStartMs: lifetimeStartMsOf(this.instance.instanceId),
       running,
       ended: this.#ends.slice(0, MAX_ENDS_LISTED),
       hasMoreEnds: this.#ends.length > MAX_ENDS_LISTED
@@ -313,7 +313,7 @@
     return await at.call(worker.instanceId, () => Ok(this.#clock.monotonicMs()))
   }
 
-  forget (): void {
+  releaseConnections (): void {
     // Nothing is kept open.
   }
 
--- a/packages/utils/src/index.ts
+++ b/packages/utils/src/index.ts
@@ -6,7 +6,7 @@
 export { assert, AssertionError } from './lib/assert.js'
 export { exhaustiveSwitchError } from './lib/exhaustiveSwitchError.js'
 export { Ok, Err, type Result } from './lib/Result.js'
-export { createClock, systemClock, type Clock, type ClockReadings } from './lib/Clock.js'
+export { createClock, systemClock, type Clock, type ClockSources } from './lib/Clock.js'
 export { rendezvousScore, rendezvousOrder, rendezvousOwner, hash32 } from './lib/rendezvous.js'
 export { SeededRandom } from './lib/SeededRandom.js'
 export { backOff } from './lib/backOff.js'
--- a/packages/utils/src/lib/Clock.ts
+++ b/packages/utils/src/lib/Clock.ts
@@ -18,13 +18,13 @@
 }
 
 /** What a machine's clocks show. @public */
-export interface ClockReadings {
+export interface ClockSources {
   wallMs(): number
   monotonicMs(): number
 }
 
 /** A time of day that is slewed gains less than this between two readings; leases are used to nine tenths, which is more. */
-const LEAST_JUMP_MS = 50
+const MIN_JUMP_MS = 50
 
 /**
  * Makes a clock that tells a suspended host from a running one.
@@ -37,18 +37,18 @@
  * @returns the clock
  * @public
  */
-export function createClock ({ wallMs, monotonicMs }: ClockReadings): Clock {
-  let aheadMs = wallMs() - monotonicMs()
-  let missingMs = 0
+export function createClock ({ wallMs, monotonicMs }: ClockSources): Clock {
+  let wallOffsetMs = wallMs() - monotonicMs()
+  let jumpedMs = 0
   return {
     wallMs,
     monotonicMs,
     latestMs: () => {
       const nowMs = monotonicMs()
-      const nowAheadMs = wallMs() - nowMs
-      if (nowAheadMs - aheadMs >= LEAST_JUMP_MS) missingMs += nowAheadMs - aheadMs
-      aheadMs = nowAheadMs
-      return nowMs + missingMs
+      const newWallOffsetMs = wallMs() - nowMs
+      if (newWallOffsetMs - wallOffsetMs >= MIN_JUMP_MS) jumpedMs += newWallOffsetMs - wallOffsetMs
+      wallOffsetMs = newWallOffsetMs
+      return nowMs + jumpedMs
     }
   }
 }
--- a/packages/utils/src/lib/backOff.ts
+++ b/packages/utils/src/lib/backOff.ts
@@ -5,8 +5,8 @@
  */
 import { delay } from './delay.js'
 
-const FIRST_PAUSE_MS = 100
-const MAX_FACTOR = 16
+const BASE_DELAY_MS = 100
+const MAX_DELAY_FACTOR = 16
 
 /**
  * Waits before another try: twice as long each time, and each process differently, so that none returns with the others.
@@ -16,6 +16,6 @@
  * @public
  */
 export async function backOff (attempt: number, signal: AbortSignal): Promise<void> {
-  const pauseMs = FIRST_PAUSE_MS * Math.min(MAX_FACTOR, 2 ** attempt)
-  await delay(pauseMs * (0.5 + Math.random()), signal)
+  const delayMs = BASE_DELAY_MS * Math.min(MAX_DELAY_FACTOR, 2 ** attempt)
+  await delay(delayMs * (0.5 + Math.random()), signal)
 }
--- a/packages/utils/src/lib/rendezvous.ts
+++ b/packages/utils/src/lib/rendezvous.ts
@@ -26,9 +26,9 @@
  * @public
  */
 export function rendezvousOrder<T extends string> (key: string, members: Iterable<T>): T[] {
-  const scored = [...members].map((member) => ({ member, score: rendezvousScore(key, member) }))
-  scored.sort((a, b) => b.score - a.score || (a.member < b.member ? -1 : 1))
-  return scored.map((entry) => entry.member)
+  const scoredMembers = [...members].map((member) => ({ member, score: rendezvousScore(key, member) }))
+  scoredMembers.sort((a, b) => b.score - a.score || (a.member < b.member ? -1 : 1))
+  return scoredMembers.map((entry) => entry.member)
 }
 
 /**
