--- a/packages/leases/src/index.ts
+++ b/packages/leases/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Rights to act that end by themselves, and copies of a part of the key-value service.
+ * Leases that authorize their holder to act, and local replicas of all keys with a given prefix.
  *
  * @module
  */
--- a/packages/leases/src/lib/LeaseHolder.ts
+++ b/packages/leases/src/lib/LeaseHolder.ts
@@ -1,69 +1,72 @@
 /**
- * Holds one lease of the platform, and knows when it no longer may act under it.
+ * Holds one lease of the platform's key-value store and tracks until when its holder may act.
  *
  * @module
  */
 import { delay, type Clock } from '@quillscale/utils'
 import type { KeyValueStore, PlatformError } from '@quillscale/ports'
 
-/** How a lease is held. @public */
+/** Options of a {@link LeaseHolder}. @public */
 export interface LeaseHolderOptions {
   readonly key: string
-  /** Written under the key with a number behind it, so that operators see who holds it. */
+  /** The value of the key, to which an attempt number is appended, so that operators can see who holds the lease. */
   readonly value: string
   readonly ttlMs: number
   readonly store: KeyValueStore
   readonly clock: Clock
-  /** Whether it is worth trying now: without it every entry host would ask the platform all the time. */
+  /** Whether an attempt is worthwhile now; otherwise every entry host would poll the platform all the time. */
   readonly mayAcquire: () => boolean
-  /** Called when it becomes held and when it is lost. */
+  /** Called whenever the grant starts or stops being valid. */
   readonly onChange?: (isHeld: boolean) => void
-  /** Called with the fencing token when the lease is taken, with `undefined` once it is over for good; not when a grant pauses. */
+  /** Called with the fencing token when the lease is acquired, and with `undefined` once it is lost for good, but not when the grant is only interrupted. */
   readonly onTenureChange?: (fencingToken: number | undefined) => void
-  /** Called when the store did not do what was asked. */
+  /** Called with a log message when a call to the store failed. */
   readonly onStoreError?: (what: string, error: PlatformError) => void
 }
 
-/** A right to act, to be checked right before each act. @public */
+/** Permission to act as the lease's holder. Callers have to check it right before each action. @public */
 export interface LeaseGrant {
-  /** Grows with each holder; the platform refuses acts with an older one. */
+  /** Increases with each holder; the platform refuses orders with an older token. */
   readonly fencingToken: number
 }
 
-/** Share of the lease that is used: the rest covers a store whose clock runs ahead of this host's. */
+/** The share of the lease duration for which the grant is valid; the rest covers a store whose clock runs faster than this host's. */
 const USABLE_TTL_RATIO = 0.9
-/** Renewals in each lease, so that one lost answer does not end it. */
+/** More than one renewal per lease duration, so that a single lost response does not end the lease. */
 const RENEWALS_PER_TTL = 4
-/** Looks at a vacant duty in each lease, besides those that {@link LeaseHolder.retryNow} asks for. */
+/** Attempts to acquire a vacant lease per lease duration, in addition to those that {@link LeaseHolder.retryNow} triggers. */
 const ATTEMPTS_PER_TTL = 6
 
-/** Takes, renews and gives up one lease. @public */
+/** Acquires, renews and releases one lease. @public */
 export class LeaseHolder {
   readonly #options: LeaseHolderOptions
   #leaseId: string | undefined
   #fencingToken = 0
-  /** By the most that may have passed, from before the renewal was sent: a pause of this process counts against it, and a suspension of its host. */
+  /**
+   * When the grant ends, by `Clock.latestMs`. Measured from before the renewal was sent, so that pauses of this process and suspensions of its host
+   * shorten the grant.
+   */
   #validUntilMs = -Infinity
   #wasHeld = false
   #tries = 0
   #endWait: () => void = () => {}
 
-  /** @param options - which lease and how */
+  /** @param options - the lease and its callbacks */
   constructor (options: LeaseHolderOptions) {
     this.#options = options
   }
 
   /**
-   * Tells whether an act may be done now.
+   * Returns the grant if the holder may act now.
    *
-   * @param nowMs - the present time, by the most that may have passed
-   * @returns the grant, `undefined` when the lease is not held or may have lapsed
+   * @param nowMs - the current time, by `Clock.latestMs`
+   * @returns the grant, `undefined` if the lease is not held or may have expired
    */
   grantAt (nowMs: number): LeaseGrant | undefined {
     return nowMs < this.#validUntilMs ? { fencingToken: this.#fencingToken } : undefined
   }
 
-  /** @param signal - ends the task, and gives the lease up */
+  /** @param signal - stops the loop and releases the lease */
   async run (signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (this.#leaseId === undefined) await this.#tryAcquire()
@@ -74,19 +77,19 @@
     await this.release()
   }
 
-  /** Looks at once whether the lease can be taken; for callers that saw it become vacant. */
+  /** Tries to acquire the lease immediately; for callers that saw it become vacant. */
   retryNow (): void {
     if (this.#leaseId === undefined) this.#endWait()
   }
 
-  /** Gives the lease up, so that another may take it at once. */
+  /** Releases the lease, so that another host can acquire it immediately. */
   async release (): Promise<void> {
     const leaseId = this.#leaseId
     this.#handleLost()
     this.#notifyChange()
     if (leaseId === undefined) return
     const revocation = await this.#options.store.revokeLease(leaseId)
-    if (revocation.err) this.#options.onStoreError?.('the lease could not be ended and will lapse', revocation.val)
+    if (revocation.err) this.#options.onStoreError?.('the lease could not be revoked and will expire by itself', revocation.val)
   }
 
   async #waitForNextCycle (signal: AbortSignal): Promise<void> {
@@ -105,32 +108,32 @@
     const startedMs = clock.latestMs()
     const lease = await store.grantLease(ttlMs)
     if (lease.err) {
-      this.#options.onStoreError?.('no lease was granted', lease.val)
+      this.#options.onStoreError?.('the store did not grant a lease', lease.val)
       return
     }
-    // Each try writes another value: a key of an earlier try is not taken for this one's.
+    // Each attempt writes a different value, so that a key written by an earlier attempt is not mistaken for this one's.
     const value = `${this.#options.value}#${++this.#tries}`
     const swap = await store.compareAndSwap({ key, expectedModRevision: 0, value, leaseId: lease.val })
     if (swap.ok && swap.val.swapped) {
       this.#handleAcquired(lease.val, swap.val.modRevision, startedMs)
       return
     }
-    // A lost answer is resolved by reading: the key names this process, or the lease is ended.
+    // If the response was lost, reading the key shows whether this attempt's write took effect. If it did not, the lease is revoked.
     const current = swap.err ? await store.get(key) : undefined
     const isOwnValue = current?.ok === true && current.val?.value === value
     if (isOwnValue && current.val !== undefined) this.#handleAcquired(lease.val, current.val.modRevision, startedMs)
     else await store.revokeLease(lease.val)
   }
 
-  /** Not waited for: one that gets no answer must not hold up the next. */
+  /** Callers do not await this, because a renewal without a response must not delay the next one. */
   async #renew (leaseId: string): Promise<void> {
     const startedMs = this.#options.clock.latestMs()
     const renewed = await this.#options.store.renewLease(leaseId)
-    // It may have been given up meanwhile.
+    // The lease may have been released in the meantime.
     if (this.#leaseId !== leaseId) return
     if (renewed.ok && renewed.val) this.#validUntilMs = Math.max(this.#validUntilMs, startedMs + this.#options.ttlMs * USABLE_TTL_RATIO)
     else if (renewed.ok) this.#handleLost()
-    // Without an answer the lease is kept: the grant ends by itself, and comes back if the lease turns out to have waited.
+    // Without a response the lease is kept: the grant runs out by itself, and becomes valid again if a later renewal shows that the lease still exists.
     else this.#options.onStoreError?.('the lease was not renewed', renewed.val)
     this.#notifyChange()
   }
--- a/packages/leases/src/lib/PrefixReplica.ts
+++ b/packages/leases/src/lib/PrefixReplica.ts
@@ -1,41 +1,41 @@
 /**
- * A copy of all keys below a prefix, kept current by a watch.
+ * A local replica of all keys with a given prefix, kept up to date by a watch.
  *
- * A watch may be cut, hear nothing, or find its history gone; then the prefix is listed anew. Lists are linearizable, so a key
- * never goes back to an older value.
+ * A watch may be interrupted, miss events, or ask for changes that the store no longer keeps; then the prefix is listed again. Lists are
+ * linearizable, so a key never goes back to an older value.
  *
  * @module
  */
 import { backOff, delay, type Clock } from '@quillscale/utils'
 import type { KeyValue, KeyValueStore, PlatformError } from '@quillscale/ports'
 
-/** What changed since the last call, each key once. @public */
+/** The changes since the previous call, with each key at most once. @public */
 export interface PrefixChange {
   readonly changed: readonly KeyValue[]
   readonly removed: readonly string[]
 }
 
-/** How a prefix is followed. @public */
+/** Options of a {@link PrefixReplica}. @public */
 export interface PrefixReplicaOptions {
   readonly store: KeyValueStore
   readonly prefix: string
   readonly clock: Clock
-  /** How long one watch waits: a connection that went silent is noticed that much later. */
+  /** The timeout of one watch, which is also how long a silent connection goes unnoticed. */
   readonly watchMs: number
-  /** The prefix is listed again after this long, in case a watch missed something. */
+  /** How often the prefix is listed again, in case a watch missed an event. */
   readonly relistMs: number
-  /** The least time from one answer to the next watch: changes that come close together cost one call; 0 by default. */
+  /** The delay between a watch that returned events and the next one, so that a burst of changes costs one call; 0 by default. */
   readonly spacingMs?: number
-  /** Called with each change; also once after the first list, even if it is empty. */
+  /** Called with each change, and once after the first list even if that is empty. */
   readonly onChange: (change: PrefixChange) => void
-  /** Called when the store does not answer, and with `undefined` when it does again. */
+  /** Called with the error when the store stops responding, and with `undefined` when it responds again. */
   readonly onContactChange?: (error: PlatformError | undefined) => void
 }
 
-/** Pauses stay below a second, so that a copy is current again soon after the store is back. */
+/** Keeps the retry delay below a second, so that the replica catches up soon after the store is back. */
 const MAX_BACK_OFF_EXPONENT = 2
 
-/** The copy. @public */
+/** Replicates all keys with a prefix by listing and watching them. @public */
 export class PrefixReplica {
   readonly items = new Map<string, KeyValue>()
   readonly #options: PrefixReplicaOptions
@@ -47,27 +47,27 @@
   #confirmedAtMs = -Infinity
   #lastRelistMs = -Infinity
 
-  /** @param options - what is followed and how */
+  /** @param options - the prefix to replicate, the timing and the callbacks */
   constructor (options: PrefixReplicaOptions) {
     this.#options = options
   }
 
-  /** Whether the prefix was listed at least once. */
+  /** Whether the prefix has been listed at least once. */
   get isListed (): boolean {
     return this.#isListed
   }
 
-  /** @param nowMs - the present monotonic time @returns how old the copy may be */
+  /** @param nowMs - the current monotonic time @returns how far the replica may lag behind the store */
   ageMs (nowMs: number): number {
     return nowMs - this.#confirmedAtMs
   }
 
-  /** @param nowMs - the present monotonic time @returns for how long the store has answered without a break, 0 while it does not */
+  /** @param nowMs - the current monotonic time @returns for how long the store has responded without interruption, 0 while it does not respond */
   reachableForMs (nowMs: number): number {
     return this.#isInContact && this.#isListed ? nowMs - this.#inContactSinceMs : 0
   }
 
-  /** @param signal - ends the task */
+  /** @param signal - stops the replication */
   async run (signal: AbortSignal): Promise<void> {
     let failures = 0
     let mustList = true
@@ -77,7 +77,7 @@
       if (signal.aborted) return
       this.#updateContact(error)
       if (error === undefined && this.#lastWatchHadEvents && this.#options.spacingMs !== undefined) await delay(this.#options.spacingMs, signal)
-      // A routine list that fails, as a long one may on a busy link, does not end the watch.
+      // A failed routine list does not force another list before the next watch: a long list may keep failing on a busy link.
       mustList = error !== undefined && !isRoutine
       failures = error === undefined || error.kind === 'history-gone' ? 0 : failures + 1
       if (failures > 0) await backOff(Math.min(failures - 1, MAX_BACK_OFF_EXPONENT), signal)
--- a/packages/ports/src/lib/FleetConfiguration.ts
+++ b/packages/ports/src/lib/FleetConfiguration.ts
@@ -1,63 +1,63 @@
 /**
- * The operators' configuration of queues and services, where the platform keeps it.
+ * The operators' configuration of queues, services and client accounts, as read from the platform's store.
  *
  * @module
  */
 import type { WorkerCapacity } from './RunOrders.js'
 
-/** Names a client account. @public */
+/** The name of a client account. @public */
 export type AccountName = string & { readonly __accountName: true }
 
-/** A key that was hashed; the key itself is kept nowhere. @public */
+/** The hash of an API key; the key itself is never stored. @public */
 export type KeyHash = string & { readonly __keyHash: true }
 
-/** A client account: who may hand in jobs, and how much of the fleet they may take. @public */
+/** A client account, which may submit jobs, and its limits. @public */
 export interface ClientAccount {
   readonly name: AccountName
-  /** Any of its keys stands for it. */
+  /** Hashes of the account's API keys; each of the keys authenticates the account. */
   readonly keyHashes: readonly KeyHash[]
-  /** Jobs a second that are its share when everything is full. */
+  /** The account's share under full load, in jobs per second. */
   readonly weight: number
-  /** What it may have running on all workers together; 0 for no limit. */
+  /** The most resources its running tasks may use across all workers; 0 means no limit. */
   readonly limit: WorkerCapacity
 }
 
-/** A queue may need advice on which workers run a step. @public */
+/** Timing of the placement advice service, for a queue whose steps need its advice. @public */
 export interface PlacementAdviceSettings {
-  /** How long the advice service thinks about a call, and about each worker named in it. */
+  /** The time the advice service takes for a call, to which `perWorkerMs` is added for each worker named in it. */
   readonly decisionMs: number
   readonly perWorkerMs: number
   readonly validMs: number
 }
 
-/** A queue of jobs. @public */
+/** The configuration of a job queue. @public */
 export interface QueueConfiguration {
   readonly name: string
-  /** Which requests it takes: the host header and the longest path prefix. */
+  /** A request goes to the queue that matches its host header and has the longest matching path prefix. */
   readonly host: string
   readonly pathPrefix: string
-  /** Whose workers run its tasks. */
+  /** The service whose workers run the queue's tasks. */
   readonly service: string
-  /** 0 goes first and may preempt the others. */
+  /** 0 is the highest priority and may preempt all others. */
   readonly priority: number
-  /** After so many failed runs of a task its job has failed. */
+  /** A job fails once one of its tasks has failed this many times. */
   readonly attempts: number
-  /** A job is on time within this multiple of its longest chain of work, and `targetLatencyMs` more. */
+  /** A job is on time if it finishes within this multiple of its critical path, plus `targetLatencyMs`. */
   readonly stretch: number
   readonly targetLatencyMs: number
-  /** How long a request may take. */
+  /** The time limit for a request. */
   readonly timeoutMs: number
-  /** Calls need no key. */
+  /** Whether requests are accepted without an API key. */
   readonly isPublic?: boolean | undefined
   readonly advice?: PlacementAdviceSettings | undefined
 }
 
-/** A service: a pool of machines, each with a worker. @public */
+/** The configuration of a service, which is a pool of machines with one worker each. @public */
 export interface ServiceConfiguration {
   readonly name: string
-  /** Its machines are off and not paid for. */
+  /** Whether this is a headroom pool, whose machines are switched off and not paid for. */
   readonly isHeadroom: boolean
-  /** Its workers refuse what does not fit; otherwise they start whatever they are told. */
+  /** Whether workers refuse a run that exceeds their capacity; otherwise they start every run that is ordered. */
   readonly refusesOverload: boolean
   readonly healthPath: string
 }
@@ -67,17 +67,17 @@
   readonly version: number
   readonly queues: readonly QueueConfiguration[]
   readonly services: readonly ServiceConfiguration[]
-  /** `undefined` where there are no client accounts: then no call needs a key. */
+  /** `undefined` if client accounts are not used; then no request needs an API key. */
   readonly accounts?: readonly ClientAccount[] | undefined
   readonly maxBodyBytes: number
 }
 
-/** Machines that are due for upkeep. @public */
+/** A request for maintenance of a set of machines, called a wave. @public */
 export interface WaveRequest {
   readonly wave: number
   readonly machineIds: readonly string[]
-  /** From when the request was written. */
+  /** How long the wave may take, counted from the time the request was written. */
   readonly deadlineMs: number
-  /** The most machines that may be down for it at once. */
+  /** The most machines that may be down for this wave at the same time. */
   readonly maxAtOnce: number
 }
--- a/packages/ports/src/lib/HostControl.ts
+++ b/packages/ports/src/lib/HostControl.ts
@@ -1,5 +1,5 @@
 /**
- * How the platform reboots a host.
+ * Interface for draining and rebooting hosts through the platform.
  *
  * @module
  */
@@ -8,29 +8,29 @@
 import type { HostDirectory } from './HostDirectory.js'
 import type { KeyValueStore, PlatformError } from './KeyValueStore.js'
 
-/** An order for a host, fenced: the platform refuses one whose token is lower than one it has seen for that host. @public */
+/** A fenced order for a host: the platform refuses it if it has seen a higher fencing token for that host. @public */
 export interface FencedOrder {
   readonly hostId: HostId
   readonly fencingToken: number
 }
 
-/** What became of an order. @public */
+/** The outcome of an order for a host. @public */
 export type OrderOutcome = 'accepted' | 'fenced-off'
 
-/** Control of hosts. @public */
+/** Drains, undrains and reboots hosts. @public */
 export interface HostControl {
-  /** @param order - whom to drain: the host's own signal tells its targets to expect no work @returns what became of it */
+  /** @param order - the host to drain; the host itself then signals its targets to expect no more work @returns the outcome */
   drain(order: FencedOrder): Promise<Result<OrderOutcome, PlatformError>>
-  /** @param order - whose drain ends @returns what became of it */
+  /** @param order - the host whose drain ends @returns the outcome */
   undrain(order: FencedOrder): Promise<Result<OrderOutcome, PlatformError>>
   /**
-   * @param order - whom to reboot into a version
-   * @returns what became of it; repeated while it reboots, or when it runs that version already, it changes nothing
+   * @param order - the host to reboot and the version to boot
+   * @returns the outcome; the order has no effect while the host is already rebooting, or if it already runs that version
    */
   reboot(order: FencedOrder & { readonly version: string }): Promise<Result<OrderOutcome, PlatformError>>
 }
 
-/** All that the platform gives. @public */
+/** The services of the platform that entry hosts use. @public */
 export interface Platform {
   readonly keyValueStore: KeyValueStore
   readonly hostDirectory: HostDirectory
--- a/packages/ports/src/lib/RunOrders.ts
+++ b/packages/ports/src/lib/RunOrders.ts
@@ -1,11 +1,11 @@
 /**
- * Runs of tasks on workers: each run has a number, everything that runs is leased, each order carries a fencing token.
+ * Interface for running tasks on workers. Each run of a task is numbered, every run is covered by a lease, and every order carries a fencing token.
  *
  * @module
  */
 import type { Result } from '@quillscale/utils'
 
-/** What a worker has room for, or what a task asks for. @public */
+/** The resources that a worker offers or a task requests. @public */
 export interface WorkerCapacity {
   /** Thousandths of a core. */
   readonly cpuMillis: number
@@ -13,11 +13,11 @@
   readonly gpus: number
 }
 
-/** One lifetime of a worker, as it registered itself. @public */
+/** The registration of one lifetime of a worker, from one start of the worker to the next. @public */
 export interface WorkerInstance {
-  /** Names this lifetime, as `createInstanceId` makes it; another lifetime of the worker has another one. */
+  /** Unique to this lifetime of the worker; see `createInstanceId`. */
   readonly instanceId: string
-  /** The machine it runs on, which outlasts it; empty when the platform does not tell. */
+  /** The machine it runs on, which may host further lifetimes of the worker; empty if the platform doesn't report it. */
   readonly machineId: string
   readonly service: string
   readonly address: string
@@ -25,77 +25,77 @@
   readonly availabilityZone: string
   readonly state: 'ready' | 'draining'
   readonly capacity: WorkerCapacity
-  /** Its kind and its rack. */
+  /** The worker's kind and its rack. */
   readonly labels: readonly string[]
 }
 
-/** Names one run of a task. @public */
+/** Identifies one run of a task. @public */
 export interface RunRef {
-  /** JOB.TIME.STEP.INDEX. */
+  /** Format: JOB.TIME.STEP.INDEX. */
   readonly taskKey: string
-  /** Counts the starts of the task, from 1. */
+  /** The number of this start of the task, counted from 1. */
   readonly runNumber: number
 }
 
 /** An order to start a run. @public */
 export interface RunStart extends RunRef {
-  /** What to do, as the client wrote it. */
+  /** The command to run, exactly as the client wrote it. */
   readonly command: string
-  /** On the worker's clock: when the lease of everything that runs there ends unless it is extended. */
+  /** When the lease that covers all runs on the worker expires unless it is extended, by the worker's clock. */
   readonly leaseEndsAtMs: number
   readonly fencingToken: number
   readonly checkpoint?: string | undefined
-  /** Permission of the placement advice, where the queue needs one. */
+  /** The ticket from the placement advice service, if the queue requires one. */
   readonly ticket?: string | undefined
 }
 
-/** A run that a worker has. @public */
+/** A worker's report on a run that is in progress. @public */
 export interface RunReport extends RunRef {
   readonly checkpoint: string
-  /** Progress, or for a task that lasts 100 when it is at work. */
+  /** Progress in percent; a lasting task reports 100 once it is in service. */
   readonly percent: number
-  /** Of a serving task: tail of its answer times in ms; of others: processor use in thousandths of a core. */
+  /** For a serving task its tail latency in ms; for other tasks the CPU usage in thousandths of a core. */
   readonly load: number
 }
 
-/** How a run ended. `lapsed`: its lease ran out; `broken`: another member of its gang ended; `alone`: its gang never met. @public */
+/** How a run ended. `lapsed`: its lease expired; `broken`: another member of its gang ended; `alone`: its gang never became complete. @public */
 export type RunEnd = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone'
 
-/** The end of a run, listed by the worker until it is acknowledged. @public */
+/** A worker's report on a run that has ended. The worker repeats it until it is acknowledged. @public */
 export interface EndReport extends RunRef {
-  /** Rises from 1 within a lifetime. */
+  /** Increases within a lifetime of the worker, starting at 1. */
   readonly sequence: number
   readonly end: RunEnd
   readonly checkpoint: string
 }
 
-/** Asks for both lists, acknowledges ends and extends leases. @public */
+/** A request that polls a worker for its running and ended runs, acknowledges end reports and extends the worker's lease. @public */
 export interface HoldRequest {
   readonly fencingToken: number
-  /** Ends up to this one are forgotten by the worker. */
+  /** The worker drops its end reports up to and including this sequence number. */
   readonly acknowledgedSequence: number
   readonly leaseEndsAtMs?: number | undefined
-  /** How long the answer may wait for an end. */
+  /** How long the worker may hold back the response until a run ends. */
   readonly waitMs: number
 }
 
-/** A worker's answer to a hold. @public */
+/** A worker's response to a {@link HoldRequest}. @public */
 export interface HoldReport {
-  /** The worker's own steady clock. */
+  /** The worker's monotonic clock. */
   readonly clockMs: number
-  /** Unix time of the start of the lifetime that answered, `undefined` where workers do not tell. */
+  /** Unix time at which the responding lifetime started, `undefined` if workers don't report it. */
   readonly lifetimeStartMs?: number | undefined
   readonly running: readonly RunReport[]
-  /** The oldest that were not acknowledged. */
+  /** The oldest end reports that are not acknowledged yet. */
   readonly ended: readonly EndReport[]
-  /** There may be more ends than these: a run in neither list may have ended. */
+  /** Whether more end reports may follow: then a run that is in neither list may have ended. */
   readonly hasMoreEnds: boolean
 }
 
 /**
- * Why an order was not carried out. `fenced-off`: a newer token was seen; `run-closed`: this run ended or was stopped there;
- * `lease-past`; `no-room`; `no-ticket`; `unhealthy`: nothing was done; `other-instance`: that lifetime is over;
- * `unknown-effect`: no answer, it may be carried out later; `malformed`: the worker does not accept the order.
+ * Why an order failed. `fenced-off`: the worker has seen a newer fencing token; `run-closed`: the run has ended or was stopped on this worker;
+ * `lease-past`, `no-room`, `no-ticket`, `unhealthy`: the worker did nothing, for the reason named; `other-instance`: the addressed lifetime has ended;
+ * `unknown-effect`: no response came, and the order may still take effect later; `malformed`: the worker rejected the order as invalid.
  *
  * @public
  */
@@ -104,16 +104,27 @@
   readonly detail: string
 }
 
-/** Orders to workers. Each answer carries the worker's clock. @public */
+/** Sends orders to workers. Each response carries the reading of the worker's clock. @public */
 export interface RunOrders {
-  /** @param worker - where @param start - what @returns the worker's clock; also when that run is there already */
+  /** @param worker - the worker @param start - the run to start @returns the worker's clock, also if that run is already there */
   start(worker: WorkerInstance, start: RunStart): Promise<Result<number, RunOrderError>>
-  /** @param worker - where @param run - which @param fencingToken - of the sender @returns the clock; the end comes with a hold */
+  /**
+   * @param worker - the worker
+   * @param run - the run to stop
+   * @param fencingToken - the sender's fencing token
+   * @returns the worker's clock; the end of the run is reported by a later {@link RunOrders.hold}
+   */
   stop(worker: WorkerInstance, run: RunRef, fencingToken: number): Promise<Result<number, RunOrderError>>
-  /** @param worker - where @param request - what to acknowledge and extend @returns both lists */
+  /** @param worker - the worker to poll @param request - what to acknowledge and extend @returns its running runs and its unacknowledged end reports */
   hold(worker: WorkerInstance, request: HoldRequest): Promise<Result<HoldReport, RunOrderError>>
-  /** @param worker - where @param run - which @param percent - share at which it may work @param fencingToken - of the sender @returns the clock */
+  /**
+   * @param worker - the worker
+   * @param run - the run to throttle
+   * @param percent - the share of its full speed at which the run may work
+   * @param fencingToken - the sender's fencing token
+   * @returns the worker's clock
+   */
   pace(worker: WorkerInstance, run: RunRef, percent: number, fencingToken: number): Promise<Result<number, RunOrderError>>
-  /** @param worker - whose connections are not needed any more */
+  /** @param worker - the worker whose connections are no longer needed */
   releaseConnections(worker: WorkerInstance): void
 }
--- a/packages/ports/src/lib/WorkerTasks.ts
+++ b/packages/ports/src/lib/WorkerTasks.ts
@@ -1,42 +1,42 @@
 /**
- * Tasks on a worker host.
+ * Interface for starting, renewing and stopping tasks on worker hosts.
  *
  * @module
  */
 import type { Result } from '@quillscale/utils'
 import type { PlatformError } from './KeyValueStore.js'
 
-/** Where a worker takes tasks. @public */
+/** The network address at which a worker accepts tasks. @public */
 export interface WorkerAddress { readonly address: string, readonly port: number }
 
-/** A task to be started. The worker stops it when its lease is not renewed. @public */
+/** A request to start a task. The worker stops the task when its lease is not renewed in time. @public */
 export interface TaskStart {
   readonly taskId: string
   readonly fencingToken: number
   readonly leaseMs: number
   readonly slots: number
-  /** What to do, as the job's submitter wrote it. */
+  /** The command to run, exactly as the job's submitter wrote it. */
   readonly command: string
-  /** Where an earlier run left off. */
+  /** The last checkpoint of an earlier run, from which this one resumes. */
   readonly checkpoint?: string | undefined
 }
 
-/** What a worker tells of a task, with a lag. `unknown-task`: it was never started here, or its lease lapsed. @public */
+/** A worker's report on a task; it may lag behind. `unknown-task`: the task was never started on this worker, or its lease expired. @public */
 export interface TaskReport {
   readonly taskId: string
   readonly state: 'running' | 'done' | 'failed' | 'unknown-task'
-  /** Slots in use, as observed. */
+  /** The observed number of slots in use. */
   readonly usedSlots: number
   readonly checkpoint?: string | undefined
   readonly detail?: string | undefined
 }
 
-/** Tasks of worker hosts. @public */
+/** Starts, renews and stops tasks on worker hosts. @public */
 export interface WorkerTasks {
-  /** @param worker - where @param task - what @returns whether it was started; `refused` means truly not run */
+  /** @param worker - the worker to start the task on @param task - the task @returns whether it started; `refused` guarantees that it did not run */
   start(worker: WorkerAddress, task: TaskStart): Promise<Result<'started' | 'refused', PlatformError>>
-  /** @param worker - where @param taskIds - whose leases @param leaseMs - from now @returns what it knows of each */
+  /** @param worker - the worker @param taskIds - the tasks to renew @param leaseMs - the new lease duration from now @returns a report on each task */
   renew(worker: WorkerAddress, taskIds: readonly string[], leaseMs: number): Promise<Result<readonly TaskReport[], PlatformError>>
-  /** @param worker - where @param taskId - which @returns its last checkpoint; the task has stopped */
+  /** @param worker - the worker @param taskId - the task to stop @returns a report with its last checkpoint, once the task has stopped */
   stop(worker: WorkerAddress, taskId: string): Promise<Result<TaskReport, PlatformError>>
 }
