--- a/packages/leases/src/lib/LeaseHolder.ts
+++ b/packages/leases/src/lib/LeaseHolder.ts
@@ -21,7 +21,7 @@
   /** Called with the fencing token when the lease is acquired, and with `undefined` once it is lost for good, but not when the grant is only interrupted. */
   readonly onTenureChange?: (fencingToken: number | undefined) => void
   /** Called with a log message when a call to the store failed. */
-  readonly onStoreError?: (what: string, error: PlatformError) => void
+  readonly onStoreError?: (message: string, error: PlatformError) => void
 }
 
 /** Permission to act as the lease's holder. Callers have to check it right before each action. @public */
--- a/packages/leases/src/lib/PrefixReplica.ts
+++ b/packages/leases/src/lib/PrefixReplica.ts
@@ -77,7 +77,7 @@
       if (signal.aborted) return
       this.#updateContact(error)
       if (error === undefined && this.#lastWatchHadEvents && this.#options.spacingMs !== undefined) await delay(this.#options.spacingMs, signal)
-      // A failed routine list does not force another list before the next watch: a long list may keep failing on a busy link.
+      // A routine list that fails, as a long one may on a busy link, does not interrupt the watch.
       mustList = error !== undefined && !isRoutine
       failures = error === undefined || error.kind === 'history-gone' ? 0 : failures + 1
       if (failures > 0) await backOff(Math.min(failures - 1, MAX_BACK_OFF_EXPONENT), signal)
--- a/packages/leases/src/test/LeaseHolder.test.ts
+++ b/packages/leases/src/test/LeaseHolder.test.ts
@@ -3,7 +3,7 @@
 import { MemoryKeyValueStore } from '@quillscale/platform-memory'
 import { LeaseHolder } from '../lib/LeaseHolder.js'
 
-/** A clock that a test moves: a jump is a pause of the process. */
+/** A clock that a test advances by hand; a jump simulates a pause of the process. */
 class ManualClock implements Clock {
   nowMs = 1000
   wallMs (): number { return this.nowMs }
@@ -11,18 +11,18 @@
   latestMs (): number { return this.nowMs }
 }
 
-/** Long enough that a busy machine does not miss renewals. */
+/** Long enough that renewals are not missed on a busy machine. */
 const TTL_MS = 400
 
-function holderOf (store: MemoryKeyValueStore, clock: Clock, name: string, ttlMs = 60): LeaseHolder {
+function createHolder (store: MemoryKeyValueStore, clock: Clock, name: string, ttlMs = 60): LeaseHolder {
   return new LeaseHolder({ key: 'lease', value: name, ttlMs, store, clock, mayAcquire: () => true })
 }
 
 describe('LeaseHolder', () => {
-  it('does not act after a pause, and the next holder’s token is higher', async () => {
+  it('has no grant after a pause of the process, and the next holder gets a higher fencing token', async () => {
     const clock = new ManualClock()
     const store = new MemoryKeyValueStore(clock)
-    const first = holderOf(store, clock, 'first')
+    const first = createHolder(store, clock, 'first')
     const stopFirst = new AbortController()
     const running = first.run(stopFirst.signal)
     await delay(5)
@@ -32,7 +32,7 @@
     expect(first.grantAt(clock.nowMs)).to.equal(undefined)
     stopFirst.abort()
     await running
-    const second = holderOf(store, clock, 'second')
+    const second = createHolder(store, clock, 'second')
     const stopSecond = new AbortController()
     const next = second.run(stopSecond.signal)
     await delay(5)
@@ -41,14 +41,14 @@
     await next
   })
 
-  it('counts a slow renewal from before it was sent', async () => {
+  it('measures the lease from before a slow renewal was sent', async () => {
     const clock = new ManualClock()
     const store = new MemoryKeyValueStore(clock)
     store.renewLease = async () => {
       clock.nowMs += 50
       return Ok(true)
     }
-    const holder = holderOf(store, clock, 'slow')
+    const holder = createHolder(store, clock, 'slow')
     const stop = new AbortController()
     const running = holder.run(stop.signal)
     await delay(50)
@@ -57,7 +57,7 @@
     expect(holder.grantAt(clock.nowMs + 5)).to.equal(undefined)
   })
 
-  it('keeps its grant when one renewal gets no answer for longer than the lease', async () => {
+  it('keeps its grant when one renewal gets no response for longer than the lease duration', async () => {
     const store = new MemoryKeyValueStore(systemClock)
     const renew = store.renewLease.bind(store)
     let calls = 0
@@ -65,7 +65,7 @@
       if (++calls === 1) await delay(TTL_MS * 2)
       return await renew(leaseId)
     }
-    const holder = holderOf(store, systemClock, 'first', TTL_MS)
+    const holder = createHolder(store, systemClock, 'first', TTL_MS)
     const stop = new AbortController()
     const running = holder.run(stop.signal)
     await delay(TTL_MS * 1.5)
@@ -77,8 +77,8 @@
   })
 })
 
-/** A host that can be suspended: true time goes on, its steady clock does not. */
-class SuspendedHost {
+/** A host that can be suspended: real time, which `world` shows, continues while the host's monotonic clock stops. */
+class SuspendableHost {
   suspendedMs = 0
   readonly clock: Clock
   readonly holder: LeaseHolder
@@ -87,7 +87,7 @@
 
   constructor (readonly world: ManualClock, store: MemoryKeyValueStore, name: string) {
     this.clock = createClock({ wallMs: () => world.nowMs, monotonicMs: () => world.nowMs - this.suspendedMs })
-    this.holder = holderOf(store, this.clock, name, HELD_TTL_MS)
+    this.holder = createHolder(store, this.clock, name, SUSPENSION_TTL_MS)
     this.done = this.holder.run(this.stop.signal)
   }
 
@@ -95,46 +95,46 @@
     return this.holder.grantAt(this.clock.latestMs()) !== undefined
   }
 
-  /** @param forMs - true time, which passes meanwhile */
-  sleep (forMs: number): void {
+  /** @param forMs - the real time for which the host is suspended */
+  suspend (forMs: number): void {
     this.suspendedMs += forMs
     this.world.nowMs += forMs
   }
 }
 
-/** Renewed four times in it: renewals come each 50 ms of real time, while the world's time stands still. */
-const HELD_TTL_MS = 200
+/** Four renewals per lease make one about every 50 ms of process time, while the simulated time of `world` does not advance. */
+const SUSPENSION_TTL_MS = 200
 
-describe('a host that is suspended', () => {
+describe('LeaseHolder on a suspended host', () => {
   const cases = [1000, 5000, 30_000].flatMap((forMs) => [1, 3].map((times) => ({ forMs, times })))
   for (const { forMs, times } of cases) {
-    it(`does nothing by a lease that lapsed meanwhile: ${forMs} ms, ${times} times`, async () => {
+    it(`has no grant from a lease that expired during the suspension: ${forMs} ms, ${times} times`, async () => {
       const world = new ManualClock()
       const store = new MemoryKeyValueStore(world)
-      const first = new SuspendedHost(world, store, 'first')
+      const first = new SuspendableHost(world, store, 'first')
       await delay(10)
       for (let time = 0; time < times; time++) {
-        expect(first.isHolder, 'before').to.equal(true)
-        first.sleep(forMs)
-        expect(first.isHolder, 'right after it woke').to.equal(false)
-        // Its next renewal finds that the lease is over, and it is taken anew.
+        expect(first.isHolder, 'before the suspension').to.equal(true)
+        first.suspend(forMs)
+        expect(first.isHolder, 'right after it resumed').to.equal(false)
+        // The next renewal finds that the lease has expired, and the holder acquires it again.
         await delay(200)
       }
       first.stop.abort()
       await first.done
     })
 
-    it(`has one holder with its successor, both suspended in turn: ${forMs} ms, ${times} times`, async () => {
+    it(`has no holder right after a suspension and one later, with two hosts suspended in turn: ${forMs} ms, ${times} times`, async () => {
       const world = new ManualClock()
       const store = new MemoryKeyValueStore(world)
-      const hosts = [new SuspendedHost(world, store, 'first'), new SuspendedHost(world, store, 'second')]
+      const hosts = [new SuspendableHost(world, store, 'first'), new SuspendableHost(world, store, 'second')]
       await delay(10)
       for (let time = 0; time < times * 2; time++) {
-        const sleeping = hosts[time % 2] as SuspendedHost
-        sleeping.sleep(forMs)
-        expect(hosts.filter(({ isHolder }) => isHolder).length, 'right after it woke').to.equal(0)
+        const suspendedHost = hosts[time % 2] as SuspendableHost
+        suspendedHost.suspend(forMs)
+        expect(hosts.filter(({ isHolder }) => isHolder).length, 'right after it resumed').to.equal(0)
         await delay(200)
-        expect(hosts.filter(({ isHolder }) => isHolder).length, 'once it is taken again').to.equal(1)
+        expect(hosts.filter(({ isHolder }) => isHolder).length, 'once the lease is acquired again').to.equal(1)
       }
       for (const { stop } of hosts) stop.abort()
       await Promise.all(hosts.map(({ done }) => done))
--- a/packages/leases/src/test/PrefixReplica.test.ts
+++ b/packages/leases/src/test/PrefixReplica.test.ts
@@ -4,15 +4,15 @@
 import { MemoryKeyValueStore } from '@quillscale/platform-memory'
 import { PrefixReplica } from '../lib/PrefixReplica.js'
 
-/** A store whose watch hears nothing, or whose history is gone. */
-class DeafStore extends MemoryKeyValueStore {
-  isDeaf = false
+/** A store whose watches can miss all events or find their history gone, and whose lists can fail. */
+class FaultyStore extends MemoryKeyValueStore {
+  dropsEvents = false
   isHistoryGone = false
-  /** Lists take longer than they may. */
+  /** Makes every list fail, as if it had timed out. */
   failsLists = false
 
   override async list (prefix: string): ReturnType<MemoryKeyValueStore['list']> {
-    return this.failsLists ? Err({ kind: 'unknown-effect', detail: 'too slow' }) : await super.list(prefix)
+    return this.failsLists ? Err({ kind: 'unknown-effect', detail: 'timed out' }) : await super.list(prefix)
   }
 
   override async watch (prefix: string, afterRevision: number, timeoutMs: number): Promise<Result<WatchEvents, PlatformError>> {
@@ -21,16 +21,16 @@
       return Err({ kind: 'history-gone', detail: '410' })
     }
     const watched = await super.watch(prefix, afterRevision, timeoutMs)
-    return this.isDeaf ? watched.map(({ revision }) => ({ revision, events: [] })) : watched
+    return this.dropsEvents ? watched.map(({ revision }) => ({ revision, events: [] })) : watched
   }
 }
 
 describe('PrefixReplica', () => {
-  let store: DeafStore
+  let store: FaultyStore
   let stop: AbortController
   let replica: PrefixReplica
   beforeEach(async () => {
-    store = new DeafStore()
+    store = new FaultyStore()
     stop = new AbortController()
     replica = new PrefixReplica({ store, prefix: 'p/', clock: systemClock, watchMs: 30, relistMs: 200, onChange: () => {} })
     await write('p/a', '1')
@@ -45,15 +45,15 @@
   }
   async function until (condition: () => boolean): Promise<void> {
     for (let waitedMs = 0; !condition(); waitedMs += 5) {
-      if (waitedMs > 5000) throw new Error('never')
+      if (waitedMs > 5000) throw new Error('the condition did not become true within 5 s')
       await delay(5)
     }
   }
 
   const cases = [
-    { name: 'follows a change', before: () => {} },
-    { name: 'finds what a watch that heard nothing missed', before: () => { store.isDeaf = true } },
-    { name: 'lists anew when the history is gone', before: () => { store.isHistoryGone = true } }
+    { name: 'replicates changes', before: () => {} },
+    { name: 'finds changes that a watch missed by listing again', before: () => { store.dropsEvents = true } },
+    { name: 'lists again when the history is gone', before: () => { store.isHistoryGone = true } }
   ]
   for (const { name, before } of cases) {
     it(name, async () => {
@@ -66,14 +66,14 @@
     })
   }
 
-  it('goes on watching when a routine list fails', async () => {
+  it('keeps watching when a routine list fails', async () => {
     store.failsLists = true
     await delay(450)
     await write('p/b', '3')
     await until(() => replica.items.get('p/b')?.value === '3')
   })
 
-  it('tells nothing any more once it was ended, also of an answer that was under way', async () => {
+  it('reports no changes after it was stopped, not even from a pending response', async () => {
     let changes = 0
     const ended = new AbortController()
     const other = new PrefixReplica({ store, prefix: 'p/', clock: systemClock, watchMs: 500, relistMs: 5000, onChange: () => { changes++ } })
--- a/packages/utils/src/index.ts
+++ b/packages/utils/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Small things that every package uses.
+ * Utilities shared by all packages.
  *
  * @module
  */
--- a/packages/utils/src/lib/Clock.ts
+++ b/packages/utils/src/lib/Clock.ts
@@ -1,39 +1,40 @@
 /**
- * Where the present time comes from at the edges; deciding functions get it as an argument.
+ * The clock, which only code at the edges of the system reads; functions that make decisions get the time as an argument.
  *
- * A host may be suspended for seconds. Its steady clock stands still meanwhile, its time of day does not. So there are two readings of
- * how much time has passed: the least, for what others were granted and may still use, and the most, for what this host was granted.
+ * A host may be suspended for seconds. Its monotonic clock stops meanwhile, its wall clock does not. The clock therefore has two readings of
+ * elapsed time: a lower bound, to time leases that were granted to others and may still be in use, and an upper bound, to time leases
+ * that were granted to this host.
  *
  * @module
  */
 
-/** Readings of time. @public */
+/** Reads the wall clock and bounds on the elapsed time. @public */
 export interface Clock {
-  /** Milliseconds since 1970, may jump. */
+  /** Unix time in milliseconds; may jump. */
   wallMs(): number
-  /** Milliseconds since an arbitrary start; counts while the process is paused, but not while its host is suspended: the least that has passed. */
+  /** Milliseconds since an arbitrary start. Advances while the process is paused but not while its host is suspended: a lower bound on the elapsed time. */
   monotonicMs(): number
-  /** The same, and all by which the time of day has ever run ahead of it: the most that has passed. A right of this host's ends by it. */
+  /** `monotonicMs` plus all forward jumps of the wall clock: an upper bound on the elapsed time, by which this host's own leases expire. */
   latestMs(): number
 }
 
-/** What a machine's clocks show. @public */
+/** The wall clock and the monotonic clock of a machine. @public */
 export interface ClockSources {
   wallMs(): number
   monotonicMs(): number
 }
 
-/** A time of day that is slewed gains less than this between two readings; leases are used to nine tenths, which is more. */
+/** A slewed wall clock gains less than this between two readings. Leases are used for only nine tenths of their duration, which leaves a larger margin. */
 const MIN_JUMP_MS = 50
 
 /**
- * Makes a clock that tells a suspended host from a running one.
+ * Creates a clock that accounts for suspensions of the host.
  *
- * Nothing tells a host that slept from one whose time of day was set forward, in a way that Node.js can read at all times: the uptime that
- * the kernel shows is wrong within containers. Both count as time that may have passed; the cost of a clock that was set forward is that
- * leases are renewed before they are used again, a quarter of a lease at most. A reading takes 0.15 us.
+ * Node.js has no reliable way to distinguish a suspension from a wall clock that was set forward: the kernel's uptime is wrong inside containers.
+ * Both count as time that may have elapsed. If the wall clock was only set forward, leases have to be renewed before they can be used again, which
+ * takes a quarter of a lease at most. A reading takes 0.15 us.
  *
- * @param readings - of the machine
+ * @param sources - the clocks of the machine
  * @returns the clock
  * @public
  */
@@ -53,5 +54,5 @@
   }
 }
 
-/** The clocks of this machine. @public */
+/** The clock of this machine. @public */
 export const systemClock: Clock = createClock({ wallMs: () => Date.now(), monotonicMs: () => performance.now() })
--- a/packages/utils/src/lib/Result.ts
+++ b/packages/utils/src/lib/Result.ts
@@ -1,16 +1,16 @@
 /**
- * The one place that reaches into `ts-results`.
+ * Re-exports the result type of `ts-results`.
  *
- * Why here: version 3.3 breaks on named imports from ES modules, a default import works.
+ * All packages import it from here, because named imports of `ts-results` 3.3 fail in ES modules; only its default import works.
  *
  * @module
  */
 import tsResults from 'ts-results'
 import type { Result as ResultType } from 'ts-results'
 
-/** A success that carries a value. @public */
+/** Creates a successful result that holds a value. @public */
 export const Ok = tsResults.Ok
-/** A failure that carries an error. @public */
+/** Creates a failed result that holds an error. @public */
 export const Err = tsResults.Err
-/** Either a success or a failure. @public */
+/** The result of an operation: either a value or an error. @public */
 export type Result<T, E> = ResultType<T, E>
--- a/packages/utils/src/lib/SeededRandom.ts
+++ b/packages/utils/src/lib/SeededRandom.ts
@@ -1,5 +1,5 @@
 /**
- * Random numbers that a seed repeats.
+ * Reproducible pseudorandom numbers.
  *
  * @module
  */
@@ -8,32 +8,32 @@
 
 const RANGE = 0x1_0000_0000
 
-/** Draws numbers; two instances with one seed draw the same. @public */
+/** Generates pseudorandom numbers; two instances with the same seed generate the same sequence. @public */
 export class SeededRandom {
   readonly #generator: { next(): number }
 
   /** @param seed - any integer */
   constructor (seed: number) {
-    // Small seeds would begin with much the same numbers.
+    // Hashes the seed, because sequences of small seeds would otherwise start with similar numbers.
     this.#generator = xoroshiro128plus(hash32(`seed ${seed}`))
   }
 
-  /** @returns a number from 0 up to, not including, 1 */
+  /** @returns a number from 0 (inclusive) to 1 (exclusive) */
   next (): number {
     return (this.#generator.next() >>> 0) / RANGE
   }
 
   /**
    * @param bound - a positive integer
-   * @returns an integer from 0 up to, not including, the bound
+   * @returns an integer from 0 (inclusive) to the bound (exclusive)
    */
   integer (bound: number): number {
     return Math.floor(this.next() * bound)
   }
 
   /**
-   * @param items - a list that is not empty
-   * @returns one of them
+   * @param items - a non-empty array
+   * @returns a random element
    */
   pick<T> (items: readonly T[]): T {
     return items[this.integer(items.length)] as T
--- a/packages/utils/src/lib/assert.ts
+++ b/packages/utils/src/lib/assert.ts
@@ -1,20 +1,20 @@
 /**
- * Stops the program's current step when something that must be true is not.
+ * Assertions of the program's own invariants.
  *
  * @module
  */
 
-/** Raised by {@link assert}: a fault of this program, never of its input. @public */
+/** Thrown by {@link assert}. It indicates a bug in this program, never invalid input. @public */
 export class AssertionError extends Error {
   override readonly name = 'AssertionError'
 }
 
 /**
- * Checks something the program itself guarantees.
+ * Checks an invariant that the program itself guarantees.
  *
- * @param condition - what must be true
- * @param message - what it means when it is not
- * @throws {@link AssertionError} when the condition is false
+ * @param condition - the condition that must hold
+ * @param message - the message of the error that is thrown if it does not hold
+ * @throws {@link AssertionError} if the condition is falsy
  * @public
  */
 export function assert (condition: unknown, message: string): asserts condition {
--- a/packages/utils/src/lib/backOff.ts
+++ b/packages/utils/src/lib/backOff.ts
@@ -1,5 +1,5 @@
 /**
- * Waits longer after each failure.
+ * Exponential backoff with jitter.
  *
  * @module
  */
@@ -9,9 +9,9 @@
 const MAX_DELAY_FACTOR = 16
 
 /**
- * Waits before another try: twice as long each time, and each process differently, so that none returns with the others.
+ * Waits before a retry. The delay doubles with each attempt and is randomized, so that processes do not retry all at the same time.
  *
- * @param attempt - how many tries have failed
+ * @param attempt - the number of doublings of the first delay; 0 for the first retry
  * @param signal - ends the wait early
  * @public
  */
--- a/packages/utils/src/lib/decodeJson.ts
+++ b/packages/utils/src/lib/decodeJson.ts
@@ -1,25 +1,25 @@
 /**
- * Decodes text that somebody else may have written.
+ * Decodes and validates JSON from untrusted sources.
  *
  * @module
  */
 import type * as z from 'zod'
 import { Err, Ok, type Result } from './Result.js'
 
-/** Why a text is not what its reader takes. `not-json`: it is cut short, or of another kind altogether; `wrong-field`: a field is missing or wrong. @public */
+/** Why decoding failed. `not-json`: the text is truncated or not JSON at all; `wrong-field`: a field is missing or invalid. @public */
 export interface DecodeProblem {
   readonly reason: 'not-json' | 'wrong-field'
-  /** The field, with dots between the names; empty for the whole. */
+  /** The path of the field, with dots between the names; empty for the whole document. */
   readonly path: string
   readonly detail: string
 }
 
 /**
- * Decodes JSON; never throws.
+ * Parses JSON and validates it against a schema; never throws.
  *
- * @param schema - what the text must hold
- * @param text - by whomever
- * @returns what it holds, or the first thing that is wrong
+ * @param schema - the schema of the decoded value
+ * @param text - the JSON text
+ * @returns the decoded value, or the first problem found
  * @public
  */
 export function decodeJson<T> (schema: z.ZodType<T>, text: string): Result<T, DecodeProblem> {
@@ -27,7 +27,8 @@
   try {
     raw = JSON.parse(text)
   } catch (error) {
-    // Told to the caller, which knows whose text it is; the error itself quotes a part of it, which may be a secret.
+    // Returned instead of thrown, because only the caller knows the source of the text. The parser's message is left out: it quotes the text, which may
+    // contain a secret.
     const position = error instanceof Error ? /at position \d+/.exec(error.message)?.[0] ?? '' : ''
     return Err({ reason: 'not-json', path: '', detail: `is not JSON ${position}`.trimEnd() })
   }
--- a/packages/utils/src/lib/delay.ts
+++ b/packages/utils/src/lib/delay.ts
@@ -1,17 +1,17 @@
 /**
- * Waits, and stops waiting when told to.
+ * A delay that can be cancelled.
  *
- * Why not the library's promise timers: an idle entry host spent an eighth of its processor time in them.
+ * It does not use `node:timers/promises`, in which an idle entry host spent an eighth of its CPU time.
  *
  * @module
  */
 
 /**
- * Waits for a duration.
+ * Resolves after a duration.
  *
- * @param durationMs - how long
- * @param signal - ends the wait early
- * @returns true when the whole duration passed, false when the signal ended it
+ * @param durationMs - the duration to wait
+ * @param signal - ends the delay early
+ * @returns true if the whole duration passed, false if the signal ended the delay
  * @public
  */
 export function delay (durationMs: number, signal?: AbortSignal): Promise<boolean> {
--- a/packages/utils/src/lib/exhaustiveSwitchError.ts
+++ b/packages/utils/src/lib/exhaustiveSwitchError.ts
@@ -1,14 +1,14 @@
 /**
- * Turns a forgotten case into an error of the compiler.
+ * Makes the compiler report a `switch` that does not handle every case.
  *
  * @module
  */
 
 /**
- * Makes the error for a value that no case handles.
+ * Creates the error for a value that no case handles.
  *
- * @param value - the value; its type is `never` when all cases are handled
- * @returns an error naming the value
+ * @param value - the value; its type is `never` if all cases are handled, so a missing case does not compile
+ * @returns an error that includes the value
  * @public
  */
 export function exhaustiveSwitchError (value: never): Error {
--- a/packages/utils/src/lib/listen.ts
+++ b/packages/utils/src/lib/listen.ts
@@ -1,18 +1,18 @@
 /**
- * Starts a server and waits until it listens.
+ * Starts a server and waits until it accepts connections.
  *
  * @module
  */
 import type { AddressInfo, Server } from 'node:net'
 
 /**
- * Listens.
+ * Makes a server listen on a port.
  *
- * @param server - HTTP or TCP
- * @param port - 0 takes a free one
- * @param address - an IP number of this machine
- * @returns the port
- * @throws what the server emits when it cannot listen, such as that the port is taken
+ * @param server - an HTTP or TCP server
+ * @param port - the port; 0 picks a free one
+ * @param address - an IP address of this machine
+ * @returns the port that the server listens on
+ * @throws the error that the server emits if it cannot listen, for example because the port is in use
  * @public
  */
 export function listen (server: Server, port: number, address: string): Promise<number> {
--- a/packages/utils/src/lib/rendezvous.ts
+++ b/packages/utils/src/lib/rendezvous.ts
@@ -1,16 +1,16 @@
 /**
- * Divides keys among members so that a change of members moves the fewest keys.
+ * Rendezvous hashing: assigns keys to members so that a change of the members reassigns as few keys as possible.
  *
  * @module
  */
 import murmurhash from 'murmurhash'
 
 /**
- * Scores one member for one key.
+ * Computes the score of a member for a key.
  *
- * @param key - what is being placed
- * @param member - where it could be placed
- * @returns an unsigned 32-bit score; the highest wins
+ * @param key - the key to assign
+ * @param member - a candidate for the key
+ * @returns an unsigned 32-bit score; the member with the highest score owns the key
  * @public
  */
 export function rendezvousScore (key: string, member: string): number {
@@ -18,11 +18,11 @@
 }
 
 /**
- * Orders members by their score for a key.
+ * Sorts members by their score for a key.
  *
- * @param key - what is being placed
- * @param members - where it could be placed, in any order
- * @returns the members, the owner first; equal scores go by name
+ * @param key - the key to assign
+ * @param members - the candidates, in any order
+ * @returns the members from the highest score to the lowest, so the owner comes first; equal scores are ordered by name
  * @public
  */
 export function rendezvousOrder<T extends string> (key: string, members: Iterable<T>): T[] {
@@ -32,11 +32,11 @@
 }
 
 /**
- * Names the owner of a key.
+ * Returns the owner of a key.
  *
- * @param key - what is being placed
- * @param members - where it could be placed, in any order
- * @returns the member with the highest score, `undefined` without members
+ * @param key - the key to assign
+ * @param members - the candidates, in any order
+ * @returns the member with the highest score, `undefined` if there are no members
  * @public
  */
 export function rendezvousOwner<T extends string> (key: string, members: Iterable<T>): T | undefined {
@@ -44,9 +44,9 @@
 }
 
 /**
- * Hashes a text to spread it over shards.
+ * Hashes a string, for example to distribute strings over shards.
  *
- * @param text - any text
+ * @param text - the string to hash
  * @returns an unsigned 32-bit hash
  * @public
  */
