--- a/packages/scheduler/src/test/WorkerLink.test.ts
+++ b/packages/scheduler/src/test/WorkerLink.test.ts
@@ -34,7 +34,7 @@
         const ended = this.hasEndedRun ? [{ taskKey: 't', runNumber: 1, sequence: 1, end: 'done' as const, checkpoint: '' }] : []
         return Ok({ clockMs: performance.now(), running: [], ended, hasMoreEnds: false })
       },
-      forget: () => {}
+      releaseConnections: () => {}
     } as unknown as RunOrders
     this.link = new WorkerLink(INSTANCE, {
       orders,
--- a/packages/utils/src/lib/Clock.ts
+++ b/packages/utils/src/lib/Clock.ts
@@ -10,7 +10,7 @@
 
 /** Reads the wall clock and bounds on the elapsed time. @public */
 export interface Clock {
-  /** Unix time in milliseconds; may jump. */
+  /** Unix time: milliseconds since 1970. It may jump. */
   wallMs(): number
   /** Milliseconds since an arbitrary start. Advances while the process is paused but not while its host is suspended: a lower bound on the elapsed time. */
   monotonicMs(): number
