--- a/packages/entry/src/lib/CollectingSink.ts
+++ b/packages/entry/src/lib/CollectingSink.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { KeptAnswer } from '@quillscale/once'
+import type { CachedResponse } from '@quillscale/once'
 import type { AnswerSink } from './TargetClient.js'
 
 /** Collects an answer that is kept. @public */
@@ -29,7 +29,7 @@
   end (): void {}
 
   /** The whole answer. */
-  get answer (): KeptAnswer {
+  get answer (): CachedResponse {
     const headers: Array<readonly [string, string]> = []
     for (let i = 0; i < this.#headers.length; i += 2) headers.push([this.#headers[i] as string, this.#headers[i + 1] as string])
     return { statusCode: this.#statusCode, headers, body: Buffer.concat(this.#chunks) }
--- a/packages/entry/src/lib/KeyShards.ts
+++ b/packages/entry/src/lib/KeyShards.ts
@@ -9,7 +9,7 @@
 import type { PeerMesh } from '@quillscale/membership'
 import {
   NO_OWNERS, ownershipSchema, planHandover, planTakeover,
-  type HandedEntry, type IdempotencyKey, type OnceTable, type OwnerCandidate, type OwnershipDocument, type OwnershipView, type ShardOwner
+  type HandoverEntry, type IdempotencyKey, type IdempotencyTable, type OwnerCandidate, type OwnershipDocument, type OwnershipPlanningInput, type ShardOwner
 } from '@quillscale/once'
 import { handOverParts, handOverSchema, type HandedShard } from './handOverParts.js'
 import type { StateReplica } from './StateReplica.js'
@@ -40,7 +40,7 @@
 /** Owns shards of keys. @public */
 export class KeyShards {
   readonly #options: KeyShardsOptions
-  readonly #table: OnceTable
+  readonly #table: IdempotencyTable
   readonly #received = new Map<number, Omit<HandedShard, 'shard'>>()
   #isBusy = false
 
@@ -48,7 +48,7 @@
    * @param options - what it works with
    * @param table - what is remembered of keys; it owns exactly the shards that this entry host owns
    */
-  constructor (options: KeyShardsOptions, table: OnceTable) {
+  constructor (options: KeyShardsOptions, table: IdempotencyTable) {
     this.#options = options
     this.#table = table
     options.states.onChange(({ name }) => { if (name === OWNERSHIP_DOCUMENT) this.#followOwnership() })
@@ -79,7 +79,7 @@
     const { shards, entries } = handOverSchema.parse(body)
     for (const { shard, completeSinceMs } of shards) {
       const known = this.#received.get(shard)?.entries ?? []
-      const own = entries.filter((entry) => entry.shard === shard) as HandedEntry[]
+      const own = entries.filter((entry) => entry.shard === shard) as HandoverEntry[]
       this.#received.set(shard, { completeSinceMs, entries: [...known, ...own] })
     }
     return true
@@ -101,7 +101,7 @@
     return owner?.owner === self.entryHostId && owner.incarnation === self.incarnation
   }
 
-  #view (): OwnershipView {
+  #view (): OwnershipPlanningInput {
     const { self, mesh, gone } = this.#options
     const peers = mesh.members().filter(({ state }) => state === 'reachable').map(({ entryHostId, incarnation }) => ({ entryHostId, incarnation }))
     return { document: this.#document(), self, members: [self, ...peers], gone: gone() }
@@ -147,19 +147,19 @@
     const { mesh, store } = this.#options
     await this.#whenQuiet(shards)
     const handed = shards.flatMap((shard) => {
-      const state = this.#table.disown(shard)
+      const state = this.#table.releaseShard(shard)
       return state === undefined ? [] : [{ shard, ...state }]
     })
     const isSent = await this.#sendHandOver(mesh, next.entryHostId, handed)
     const result = isSent ? await store.update(OWNERSHIP_DOCUMENT, () => this.#withOwner(next, handed)) : 'not-changed'
     // With an unknown end the document is awaited: it names the owner, and `#followOwnership` acts on it.
-    if (result === 'not-changed') for (const { shard, completeSinceMs } of handed) this.#table.own(shard, completeSinceMs)
+    if (result === 'not-changed') for (const { shard, completeSinceMs } of handed) this.#table.addShard(shard, completeSinceMs)
   }
 
   /** Waits a little for a moment in which nothing of these shards runs: what runs is handed over with an unknown end. */
   async #whenQuiet (shards: readonly number[]): Promise<void> {
     const untilMs = this.#options.clock.monotonicMs() + QUIET_WAIT_MS
-    while (shards.some((shard) => this.#table.isRunning(shard)) && this.#options.clock.monotonicMs() < untilMs) await delay(QUIET_POLL_MS)
+    while (shards.some((shard) => this.#table.hasRunningRequest(shard)) && this.#options.clock.monotonicMs() < untilMs) await delay(QUIET_POLL_MS)
   }
 
   async #sendHandOver (mesh: PeerMesh, to: EntryHostId, handed: readonly HandedShard[]): Promise<boolean> {
@@ -184,13 +184,13 @@
   #followOwnership (): void {
     this.#document().shards.forEach((owner, shard) => {
       if (owner === null || !this.#isOurs(owner)) {
-        this.#table.disown(shard)
+        this.#table.releaseShard(shard)
         return
       }
       const received = this.#received.get(shard)
-      if (received !== undefined && owner.completeSinceMs === received.completeSinceMs) this.#table.takeOver(received.entries)
+      if (received !== undefined && owner.completeSinceMs === received.completeSinceMs) this.#table.importEntries(received.entries)
       this.#received.delete(shard)
-      this.#table.own(shard, owner.completeSinceMs)
+      this.#table.addShard(shard, owner.completeSinceMs)
     })
   }
 }
--- a/packages/entry/src/lib/OnceManager.ts
+++ b/packages/entry/src/lib/OnceManager.ts
@@ -5,7 +5,7 @@
  */
 import { createHash } from 'node:crypto'
 import { QuillscaleError, type EntryHostId } from '@quillscale/model'
-import { OnceTable, mintKey, parseKey, type IdempotencyKey, type KeptAnswer, type OnceTableOptions } from '@quillscale/once'
+import { IdempotencyTable, mintKey, parseKey, type IdempotencyKey, type CachedResponse, type IdempotencyTableOptions } from '@quillscale/once'
 import { forwardedSchema, keyedAnswerSchema, ownerRefusalSchema, type KeyedAnswer, type KeyedRequest } from './keyedMessages.js'
 import { HAND_OVER_TOPIC, KeyShards, type KeyShardsOptions } from './KeyShards.js'
 
@@ -13,8 +13,8 @@
 export interface OnceManagerOptions extends KeyShardsOptions {
   readonly secrets: readonly string[]
   /** Runs a request here. @throws QuillscaleError with a true outcome */
-  readonly run: (request: KeyedRequest) => Promise<KeptAnswer>
-  readonly table: Partial<OnceTableOptions>
+  readonly run: (request: KeyedRequest) => Promise<CachedResponse>
+  readonly table: Partial<IdempotencyTableOptions>
 }
 
 /** The topics of this concern. @public */
@@ -25,7 +25,7 @@
 
 /** Owns keys, runs their requests and forwards those of others. @public */
 export class OnceManager {
-  readonly table: OnceTable
+  readonly table: IdempotencyTable
   readonly #options: OnceManagerOptions
   readonly #shards: KeyShards
   #nextSequence = 1
@@ -33,7 +33,7 @@
   /** @param options - what it works with */
   constructor (options: OnceManagerOptions) {
     this.#options = options
-    this.table = new OnceTable(options.table)
+    this.table = new IdempotencyTable(options.table)
     this.#shards = new KeyShards(options, this.table)
   }
 
@@ -118,7 +118,7 @@
     switch (claim) {
       case 'run': return this.#run(request)
       case 'running':
-        await this.table.whenEnded(request.key, request.timeoutMs)
+        await this.table.waitUntilEnded(request.key, request.timeoutMs)
         return this.#replay(request)
       case 'answered': return this.#replay(request)
       case 'unknown': throw new QuillscaleError('key-unknown', 'a request with this key may have run; its end is not known')
--- a/packages/entry/src/lib/handOverParts.ts
+++ b/packages/entry/src/lib/handOverParts.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { z } from 'zod'
-import type { HandedEntry } from '@quillscale/once'
+import type { HandoverEntry } from '@quillscale/once'
 import { keptAnswerSchema } from './keyedMessages.js'
 
 const recordSchema = z.discriminatedUnion('state', [
@@ -23,7 +23,7 @@
 export type HandOver = z.input<typeof handOverSchema>
 
 /** A shard on its way to the next owner. @internal */
-export interface HandedShard { readonly shard: number, readonly completeSinceMs: number, readonly entries: HandedEntry[] }
+export interface HandedShard { readonly shard: number, readonly completeSinceMs: number, readonly entries: HandoverEntry[] }
 
 const MAX_HAND_OVER_BYTES = 3 * 1024 * 1024
 
--- a/packages/entry/src/lib/keyedMessages.ts
+++ b/packages/entry/src/lib/keyedMessages.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { z } from 'zod'
-import type { IdempotencyKey, KeptAnswer } from '@quillscale/once'
+import type { IdempotencyKey, CachedResponse } from '@quillscale/once'
 
 /** A request with a key, small enough to be held whole. @public */
 export interface KeyedRequest {
@@ -22,7 +22,7 @@
 }
 
 /** The answer to a keyed request. @public */
-export interface KeyedAnswer extends KeptAnswer {
+export interface KeyedAnswer extends CachedResponse {
   /** Whether it is the answer of an earlier request with the key. */
   readonly isReplayed: boolean
 }
--- a/packages/entry/src/lib/runKeyedRequest.ts
+++ b/packages/entry/src/lib/runKeyedRequest.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { QuillscaleError } from '@quillscale/model'
-import type { KeptAnswer } from '@quillscale/once'
+import type { CachedResponse } from '@quillscale/once'
 import { CallerConnection, findRequestClass } from '@quillscale/routing'
 import { CollectingSink } from './CollectingSink.js'
 import type { EntryHostParts } from './EntryHostParts.js'
@@ -21,7 +21,7 @@
  * @throws QuillscaleError if there is no such service or class, or the answer broke off
  * @internal
  */
-export async function runKeyedRequest (parts: Pick<EntryHostParts, 'registry' | 'clock'>, request: KeyedRequest, runner: RequestRunner): Promise<KeptAnswer> {
+export async function runKeyedRequest (parts: Pick<EntryHostParts, 'registry' | 'clock'>, request: KeyedRequest, runner: RequestRunner): Promise<CachedResponse> {
   const service = parts.registry.services.get(request.service)
   if (service === undefined) throw new QuillscaleError('no-such-service', request.service)
   const requestClass = findRequestClass(service.spec.classes, request.requestClass)
--- a/packages/entry/src/test/OnceManager.test.ts
+++ b/packages/entry/src/test/OnceManager.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai'
 import { Ok, systemClock } from '@quillscale/utils'
 import { createEntryHostId } from '@quillscale/model'
-import { KEY_SHARDS, type OwnershipDocument } from '@quillscale/once'
+import { KEY_SHARD_COUNT, type OwnershipDocument } from '@quillscale/once'
 import { OWNERSHIP_DOCUMENT } from '../lib/KeyShards.js'
 import { OnceManager } from '../lib/OnceManager.js'
 import { StateReplica } from '../lib/StateReplica.js'
@@ -34,7 +34,7 @@
     isStopping: () => false,
     table: {}
   })
-  const shards = Array.from({ length: KEY_SHARDS }, () => ({ owner: self.entryHostId, incarnation: 1, completeSinceMs: 1 }))
+  const shards = Array.from({ length: KEY_SHARD_COUNT }, () => ({ owner: self.entryHostId, incarnation: 1, completeSinceMs: 1 }))
   states.merge({ name: OWNERSHIP_DOCUMENT, revision: 1, value: { schemaVersion: 1, revision: 1, shards } })
   return { manager, states, owned: () => (states.get(OWNERSHIP_DOCUMENT)?.value as OwnershipDocument).shards }
 }
@@ -43,10 +43,10 @@
   it('leaves no shard without an owner after a hand-over with an unknown end', async () => {
     const { manager, owned } = managerWithLostAnswer()
     await manager.tick()
-    expect(manager.ownedShards, 'while the end is unknown').to.be.below(KEY_SHARDS)
+    expect(manager.ownedShards, 'while the end is unknown').to.be.below(KEY_SHARD_COUNT)
     await manager.tick()
     const named = owned().filter((owner) => owner?.owner === self.entryHostId).length
     expect(manager.ownedShards).to.equal(named)
-    expect(named).to.be.below(KEY_SHARDS)
+    expect(named).to.be.below(KEY_SHARD_COUNT)
   })
 })
--- a/packages/once/src/index.ts
+++ b/packages/once/src/index.ts
@@ -3,8 +3,8 @@
  *
  * @module
  */
-export { KEY_SHARDS, mintKey, parseKey, type IdempotencyKey, type MintedKey, type TimedKey } from './lib/IdempotencyKey.js'
-export { OnceTable, ONCE_TABLE_DEFAULTS, type Claim, type HandedEntry, type KeptAnswer, type KeyRecord, type OnceTableOptions } from './lib/OnceTable.js'
+export { KEY_SHARD_COUNT, mintKey, parseKey, type IdempotencyKey, type MintedKey, type TimedKey } from './lib/IdempotencyKey.js'
+export { IdempotencyTable, IDEMPOTENCY_TABLE_DEFAULTS, type ClaimResult, type HandoverEntry, type CachedResponse, type KeyRecord, type IdempotencyTableOptions } from './lib/IdempotencyTable.js'
 export {
-  NO_OWNERS, ownershipSchema, planHandover, planTakeover, type OwnerCandidate, type OwnershipDocument, type OwnershipView, type ShardOwner
+  NO_OWNERS, ownershipSchema, planHandover, planTakeover, type OwnerCandidate, type OwnershipDocument, type OwnershipPlanningInput, type ShardOwner
 } from './lib/KeyOwnership.js'
--- a/packages/once/src/lib/IdempotencyKey.ts
+++ b/packages/once/src/lib/IdempotencyKey.ts
@@ -9,7 +9,7 @@
 import { isEntryHostId, type EntryHostId } from '@quillscale/model'
 
 /** How many parts the callers' own keys are divided into. @public */
-export const KEY_SHARDS = 64
+export const KEY_SHARD_COUNT = 64
 
 /** A key that an entry host made: it names its owner, so no agreement is needed to find it. @public */
 export interface MintedKey {
@@ -36,7 +36,7 @@
 const MAC_LENGTH = 16
 const TIMED_VERSION = 7
 
-function macOf (text: string, secret: string): string {
+function computeMac (text: string, secret: string): string {
   return createHmac('sha256', secret).update(text).digest('base64url').slice(0, MAC_LENGTH)
 }
 
@@ -53,7 +53,7 @@
  */
 export function mintKey (owner: EntryHostId, incarnation: number, sequence: number, nowMs: number, secret: string): string {
   const body = [MINTED_PREFIX, owner, incarnation, nowMs, sequence].join(SEPARATOR)
-  return `${body}${SEPARATOR}${macOf(body, secret)}`
+  return `${body}${SEPARATOR}${computeMac(body, secret)}`
 }
 
 function parseMinted (text: string, secrets: readonly string[]): MintedKey | undefined {
@@ -61,7 +61,7 @@
   const body = text.slice(0, end)
   const mac = Buffer.from(text.slice(end + 1))
   const matches = secrets.map((secret) => {
-    const expected = Buffer.from(macOf(body, secret))
+    const expected = Buffer.from(computeMac(body, secret))
     return mac.length === expected.length && timingSafeEqual(mac, expected)
   })
   const [, owner, incarnation, createdMs] = body.split(SEPARATOR)
@@ -83,5 +83,5 @@
   const lower = text.toLowerCase()
   if (!validate(lower) || version(lower) !== TIMED_VERSION) return undefined
   const createdMs = parseInt(lower.slice(0, 8) + lower.slice(9, 13), 16)
-  return { form: 'timed', text: lower, createdMs, shard: hash32(lower) % KEY_SHARDS }
+  return { form: 'timed', text: lower, createdMs, shard: hash32(lower) % KEY_SHARD_COUNT }
 }
--- a/packages/once/src/lib/OnceTable.ts
+++ b/packages/once/src/lib/IdempotencyTable.ts
@@ -6,7 +6,7 @@
 import type { IdempotencyKey } from './IdempotencyKey.js'
 
 /** An answer that is kept for retries. @public */
-export interface KeptAnswer {
+export interface CachedResponse {
   readonly statusCode: number
   readonly headers: ReadonlyArray<readonly [string, string]>
   readonly body: Uint8Array
@@ -15,13 +15,13 @@
 /** What is known of a key. `answered` without an answer: it ran, but its answer was too large to keep. @public */
 export type KeyRecord =
   | { readonly state: 'running' }
-  | { readonly state: 'answered', readonly answer: KeptAnswer | undefined }
+  | { readonly state: 'answered', readonly answer: CachedResponse | undefined }
   | { readonly state: 'unknown' }
 
 interface Entry { record: KeyRecord, readonly fingerprint: string, readonly createdMs: number, readonly shard: number, waiters: Array<() => void> }
 
 /** An entry as it is handed to another owner. @public */
-export interface HandedEntry {
+export interface HandoverEntry {
   readonly key: string
   readonly fingerprint: string
   readonly createdMs: number
@@ -30,10 +30,10 @@
 }
 
 /** What a request with a key may do. @public */
-export type Claim = 'run' | 'running' | 'answered' | 'unknown' | 'mismatch' | 'too-old' | 'not-yet-valid' | 'full' | 'not-owner'
+export type ClaimResult = 'run' | 'running' | 'answered' | 'unknown' | 'mismatch' | 'too-old' | 'not-yet-valid' | 'full' | 'not-owner'
 
 /** Bounds of the table. @public */
-export interface OnceTableOptions {
+export interface IdempotencyTableOptions {
   /** How long after its creation a key can be used; 600000 by default. */
   readonly retentionMs: number
   /** How far any two clocks may differ; 2000 by default. */
@@ -47,21 +47,21 @@
 }
 
 /** The documented defaults. @public */
-export const ONCE_TABLE_DEFAULTS: OnceTableOptions = {
+export const IDEMPOTENCY_TABLE_DEFAULTS: IdempotencyTableOptions = {
   retentionMs: 600_000, clockSkewMs: 2000, maxKeys: 50_000, maxAnswerBytes: 16 * 1024 * 1024, maxOneAnswerBytes: 65_536
 }
 
 /** The keys of one entry host. @public */
-export class OnceTable {
+export class IdempotencyTable {
   readonly #entries = new Map<string, Entry>()
   /** From when on each owned shard's table is complete. */
   readonly #completeSinceMs = new Map<number, number>()
-  readonly #options: OnceTableOptions
+  readonly #options: IdempotencyTableOptions
   #answerBytes = 0
 
   /** @param options - bounds, the defaults without them */
-  constructor (options: Partial<OnceTableOptions> = {}) {
-    this.#options = { ...ONCE_TABLE_DEFAULTS, ...options }
+  constructor (options: Partial<IdempotencyTableOptions> = {}) {
+    this.#options = { ...IDEMPOTENCY_TABLE_DEFAULTS, ...options }
   }
 
   /** How many keys are remembered. */
@@ -80,34 +80,34 @@
    * @param shard - which
    * @param completeSinceMs - keys made before may have run elsewhere; the previous owner's value after a full handover
    */
-  own (shard: number, completeSinceMs: number): void {
+  addShard (shard: number, completeSinceMs: number): void {
     if (!this.#completeSinceMs.has(shard)) this.#completeSinceMs.set(shard, completeSinceMs)
   }
 
   /** @param shard - which @returns whether a request with a key of it runs now */
-  isRunning (shard: number): boolean {
+  hasRunningRequest (shard: number): boolean {
     return [...this.#entries.values()].some((entry) => entry.shard === shard && entry.record.state === 'running')
   }
 
   /** @param shard - which is owned no longer @returns its entries and completeness for the next owner */
-  disown (shard: number): { completeSinceMs: number, entries: HandedEntry[] } | undefined {
+  releaseShard (shard: number): { completeSinceMs: number, entries: HandoverEntry[] } | undefined {
     const completeSinceMs = this.#completeSinceMs.get(shard)
     if (completeSinceMs === undefined) return undefined
     this.#completeSinceMs.delete(shard)
-    const entries: HandedEntry[] = []
+    const entries: HandoverEntry[] = []
     for (const [key, entry] of this.#entries) {
       if (entry.shard !== shard) continue
-      entries.push({ key, fingerprint: entry.fingerprint, createdMs: entry.createdMs, shard, record: handedRecord(entry.record) })
+      entries.push({ key, fingerprint: entry.fingerprint, createdMs: entry.createdMs, shard, record: toHandoverRecord(entry.record) })
     }
     return { completeSinceMs, entries }
   }
 
   /** @param entries - what the previous owner remembers */
-  takeOver (entries: readonly HandedEntry[]): void {
+  importEntries (entries: readonly HandoverEntry[]): void {
     for (const { key, record, ...rest } of entries) {
       if (this.#entries.has(key)) continue
       this.#entries.set(key, { ...rest, record, waiters: [] })
-      this.#answerBytes += sizeOf(record)
+      this.#answerBytes += cachedBytesOf(record)
     }
   }
 
@@ -119,11 +119,11 @@
    * @param nowMs - the present time since 1970
    * @returns what it may do
    */
-  claim (key: IdempotencyKey, fingerprint: string, nowMs: number): Claim {
-    this.#forget(nowMs)
+  claim (key: IdempotencyKey, fingerprint: string, nowMs: number): ClaimResult {
+    this.#evictExpired(nowMs)
     const entry = this.#entries.get(key.text)
     if (entry !== undefined) return entry.fingerprint === fingerprint ? entry.record.state : 'mismatch'
-    const refusal = this.#refuseByAge(key, nowMs)
+    const refusal = this.#rejectByAge(key, nowMs)
     if (refusal !== undefined) return refusal
     if (this.#entries.size >= this.#options.maxKeys) return 'full'
     this.#entries.set(key.text, { record: { state: 'running' }, fingerprint, createdMs: key.createdMs, shard: key.form === 'timed' ? key.shard : -1, waiters: [] })
@@ -136,11 +136,11 @@
    * @param key - its key
    * @param end - its answer; `not-run` frees the key for another try; `unknown` keeps it from ever running again
    */
-  finish (key: IdempotencyKey, end: KeptAnswer | 'not-run' | 'unknown' | 'answered-not-kept'): void {
+  finish (key: IdempotencyKey, end: CachedResponse | 'not-run' | 'unknown' | 'answered-not-kept'): void {
     const entry = this.#entries.get(key.text)
     if (entry === undefined) return
     if (end === 'not-run') this.#entries.delete(key.text)
-    else entry.record = this.#keep(end)
+    else entry.record = this.#toRecord(end)
     for (const wake of entry.waiters.splice(0)) wake()
   }
 
@@ -150,7 +150,7 @@
   }
 
   /** @param key - a running key @param timeoutMs - how long to wait @returns once it ended or the time passed */
-  whenEnded (key: IdempotencyKey, timeoutMs: number): Promise<void> {
+  waitUntilEnded (key: IdempotencyKey, timeoutMs: number): Promise<void> {
     const entry = this.#entries.get(key.text)
     if (entry?.record.state !== 'running') return Promise.resolve()
     return new Promise((resolve) => {
@@ -163,7 +163,7 @@
   }
 
   /** A key is fresh only if no earlier owner can have seen it and no entry for it can have been forgotten. */
-  #refuseByAge (key: IdempotencyKey, nowMs: number): Claim | undefined {
+  #rejectByAge (key: IdempotencyKey, nowMs: number): ClaimResult | undefined {
     const { clockSkewMs, retentionMs } = this.#options
     if (key.createdMs > nowMs + clockSkewMs) return 'not-yet-valid'
     if (key.createdMs < nowMs - retentionMs) return 'too-old'
@@ -175,7 +175,7 @@
     return undefined
   }
 
-  #keep (end: KeptAnswer | 'unknown' | 'answered-not-kept'): KeyRecord {
+  #toRecord (end: CachedResponse | 'unknown' | 'answered-not-kept'): KeyRecord {
     if (end === 'unknown') return { state: 'unknown' }
     const isKept = end !== 'answered-not-kept' && end.body.length <= this.#options.maxOneAnswerBytes &&
       this.#answerBytes + end.body.length <= this.#options.maxAnswerBytes
@@ -185,21 +185,21 @@
   }
 
   /** Entries go in the order they came; one that still runs stops the sweep until it ends. */
-  #forget (nowMs: number): void {
+  #evictExpired (nowMs: number): void {
     const keptMs = this.#options.retentionMs + 2 * this.#options.clockSkewMs
     for (const [text, entry] of this.#entries) {
       if (entry.createdMs > nowMs - keptMs || entry.record.state === 'running') return
-      this.#answerBytes -= sizeOf(entry.record)
+      this.#answerBytes -= cachedBytesOf(entry.record)
       this.#entries.delete(text)
     }
   }
 }
 
-function sizeOf (record: KeyRecord): number {
+function cachedBytesOf (record: KeyRecord): number {
   return record.state === 'answered' ? record.answer?.body.length ?? 0 : 0
 }
 
 /** What still runs at the old owner has an unknown end for the new one. */
-function handedRecord (record: KeyRecord): KeyRecord {
+function toHandoverRecord (record: KeyRecord): KeyRecord {
   return record.state === 'running' ? { state: 'unknown' } : record
 }
--- a/packages/once/src/lib/KeyOwnership.ts
+++ b/packages/once/src/lib/KeyOwnership.ts
@@ -9,7 +9,7 @@
  */
 import { z } from 'zod'
 import { isEntryHostId, type EntryHostId } from '@quillscale/model'
-import { KEY_SHARDS } from './IdempotencyKey.js'
+import { KEY_SHARD_COUNT } from './IdempotencyKey.js'
 
 const ownerSchema = z.object({
   owner: z.custom<EntryHostId>(isEntryHostId),
@@ -22,7 +22,7 @@
 export const ownershipSchema = z.object({
   schemaVersion: z.literal(1).default(1),
   revision: z.number().int().nonnegative(),
-  shards: z.array(ownerSchema.nullable()).length(KEY_SHARDS)
+  shards: z.array(ownerSchema.nullable()).length(KEY_SHARD_COUNT)
 })
 
 /** The owner of one shard. @public */
@@ -31,13 +31,13 @@
 export type OwnershipDocument = z.infer<typeof ownershipSchema>
 
 /** The document before the first entry host. @public */
-export const NO_OWNERS: OwnershipDocument = { schemaVersion: 1, revision: 0, shards: Array.from({ length: KEY_SHARDS }, () => null) }
+export const NO_OWNERS: OwnershipDocument = { schemaVersion: 1, revision: 0, shards: Array.from({ length: KEY_SHARD_COUNT }, () => null) }
 
 /** A working entry host. @public */
 export interface OwnerCandidate { readonly entryHostId: EntryHostId, readonly incarnation: number }
 
 /** What the decision knows. @public */
-export interface OwnershipView {
+export interface OwnershipPlanningInput {
   readonly document: OwnershipDocument
   readonly self: OwnerCandidate
   /** Working entry hosts in reach, this one among them. */
@@ -46,7 +46,7 @@
   readonly gone: ReadonlySet<EntryHostId>
 }
 
-function isDead (owner: ShardOwner, view: OwnershipView): boolean {
+function isDead (owner: ShardOwner, view: OwnershipPlanningInput): boolean {
   if (view.gone.has(owner.owner)) return true
   return view.members.some(({ entryHostId, incarnation }) => entryHostId === owner.owner && incarnation > owner.incarnation)
 }
@@ -59,9 +59,9 @@
  * @returns the changed document, `undefined` when there is nothing to take
  * @public
  */
-export function planTakeover (view: OwnershipView, nowMs: number): OwnershipDocument | undefined {
+export function planTakeover (view: OwnershipPlanningInput, nowMs: number): OwnershipDocument | undefined {
   const { document, self, members } = view
-  const fairShare = Math.ceil(KEY_SHARDS / Math.max(1, members.length))
+  const fairShare = Math.ceil(KEY_SHARD_COUNT / Math.max(1, members.length))
   let owned = document.shards.filter((owner) => owner?.owner === self.entryHostId && owner.incarnation === self.incarnation).length
   let taken = 0
   const shards = document.shards.map((owner) => {
@@ -82,7 +82,7 @@
  * @returns the new owner of each shard to hand over
  * @public
  */
-export function planHandover (view: OwnershipView, isStopping: boolean): Map<number, OwnerCandidate> {
+export function planHandover (view: OwnershipPlanningInput, isStopping: boolean): Map<number, OwnerCandidate> {
   const others = view.members.filter(({ entryHostId }) => entryHostId !== view.self.entryHostId)
   const handover = new Map<number, OwnerCandidate>()
   if (others.length === 0) return handover
@@ -92,7 +92,7 @@
   }
   const isOwn = (owner: ShardOwner | null): boolean => owner?.owner === view.self.entryHostId && owner.incarnation === view.self.incarnation
   const own = view.document.shards.flatMap((owner, shard) => isOwn(owner) ? [shard] : [])
-  const kept = isStopping ? 0 : Math.ceil(KEY_SHARDS / view.members.length)
+  const kept = isStopping ? 0 : Math.ceil(KEY_SHARD_COUNT / view.members.length)
   for (const shard of own.slice(kept)) {
     const next = others.reduce((a, b) => (counts.get(b.entryHostId) ?? 0) < (counts.get(a.entryHostId) ?? 0) ? b : a)
     counts.set(next.entryHostId, (counts.get(next.entryHostId) ?? 0) + 1)
--- a/packages/once/src/test/OnceFuzz.test.ts
+++ b/packages/once/src/test/OnceFuzz.test.ts
@@ -2,15 +2,15 @@
 import fc from 'fast-check'
 import { createEntryHostId, type EntryHostId } from '@quillscale/model'
 import type { TimedKey } from '../lib/IdempotencyKey.js'
-import { NO_OWNERS, planHandover, planTakeover, type OwnerCandidate, type OwnershipDocument, type OwnershipView } from '../lib/KeyOwnership.js'
-import { OnceTable } from '../lib/OnceTable.js'
+import { NO_OWNERS, planHandover, planTakeover, type OwnerCandidate, type OwnershipDocument, type OwnershipPlanningInput } from '../lib/KeyOwnership.js'
+import { IdempotencyTable } from '../lib/IdempotencyTable.js'
 
 const SKEW_MS = 100
 const RETENTION_MS = 5000
 const SHARD = 7
 const HOSTS = 3
 
-interface Life { readonly table: OnceTable, readonly candidate: OwnerCandidate, readonly clockOffsetMs: number, isAlive: boolean, running: Set<string> }
+interface Life { readonly table: IdempotencyTable, readonly candidate: OwnerCandidate, readonly clockOffsetMs: number, isAlive: boolean, running: Set<string> }
 
 /** Entry hosts, one shard, callers that repeat keys; the oracle counts runs. */
 class World {
@@ -33,7 +33,7 @@
     const previous = this.lives.get(entryHostId)
     if (previous?.isAlive === true) return
     this.gone.delete(entryHostId)
-    const table = new OnceTable({ clockSkewMs: this.skewMs, retentionMs: RETENTION_MS })
+    const table = new IdempotencyTable({ clockSkewMs: this.skewMs, retentionMs: RETENTION_MS })
     // Clocks differ by at most the stated skew.
     const clockOffsetMs = [0, SKEW_MS / 2, -SKEW_MS / 2][index] ?? 0
     this.lives.set(entryHostId, { table, candidate: { entryHostId, incarnation: this.incarnation++ }, clockOffsetMs, isAlive: true, running: new Set() })
@@ -47,7 +47,7 @@
     if (isListedGone) this.gone.add(id)
   }
 
-  viewOf (life: Life): OwnershipView {
+  viewOf (life: Life): OwnershipPlanningInput {
     const members = [...this.lives.values()].filter(({ isAlive }) => isAlive).map(({ candidate }) => candidate)
     return { document: this.document, self: life.candidate, members, gone: this.gone }
   }
@@ -56,8 +56,8 @@
     for (const life of this.lives.values()) {
       const owner = this.document.shards[SHARD]
       const isOurs = owner?.owner === life.candidate.entryHostId && owner.incarnation === life.candidate.incarnation
-      if (isOurs && life.isAlive) life.table.own(SHARD, this.trustsEmptyTable ? 0 : owner.completeSinceMs)
-      else life.table.disown(SHARD)
+      if (isOurs && life.isAlive) life.table.addShard(SHARD, this.trustsEmptyTable ? 0 : owner.completeSinceMs)
+      else life.table.releaseShard(SHARD)
     }
   }
 
@@ -72,9 +72,9 @@
   }
 
   handOver (life: Life, next: OwnerCandidate): void {
-    const state = life.table.disown(SHARD)
+    const state = life.table.releaseShard(SHARD)
     if (state === undefined) return
-    this.lives.get(next.entryHostId)?.table.takeOver(state.entries)
+    this.lives.get(next.entryHostId)?.table.importEntries(state.entries)
     const { completeSinceMs } = state
     const moved = { owner: next.entryHostId, incarnation: next.incarnation, completeSinceMs }
     const shards = this.document.shards.map((owner, shard) => shard === SHARD ? moved : owner)
