--- a/packages/once/src/index.ts
+++ b/packages/once/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a non-repeatable request at most once.
+ * Runs a non-repeatable request at most once: idempotency keys, the table of keys that have run, and the ownership of key shards.
  *
  * @module
  */
--- a/packages/once/src/lib/IdempotencyKey.ts
+++ b/packages/once/src/lib/IdempotencyKey.ts
@@ -1,5 +1,5 @@
 /**
- * The two forms of keys that make a request run at most once.
+ * Creates and parses idempotency keys, which make a request run at most once. A key is issued by an entry host or chosen by the caller.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 import { hash32 } from '@quillscale/utils'
 import { isEntryHostId, type EntryHostId } from '@quillscale/model'
 
-/** How many parts the callers' own keys are divided into. @public */
+/** Number of shards that caller-chosen keys are hashed into. @public */
 export const KEY_SHARD_COUNT = 64
 
-/** A key that an entry host made: it names its owner, so no agreement is needed to find it. @public */
+/** Key issued by an entry host. It names its owner, so the owner is found without consulting the ownership document. @public */
 export interface MintedKey {
   readonly form: 'minted'
   readonly text: string
@@ -20,7 +20,7 @@
   readonly createdMs: number
 }
 
-/** A key that a caller made: a UUID of version 7, which tells when. @public */
+/** Key chosen by a caller: a version 7 UUID, which contains its creation time. @public */
 export interface TimedKey {
   readonly form: 'timed'
   readonly text: string
@@ -28,7 +28,7 @@
   readonly shard: number
 }
 
-/** A checked key. @public */
+/** Idempotency key that has been parsed and validated. @public */
 export type IdempotencyKey = MintedKey | TimedKey
 
 const SEPARATOR = '~'
@@ -41,14 +41,14 @@
 }
 
 /**
- * Makes a key that names its owner.
+ * Creates a key that names the entry host that owns it.
  *
- * @param owner - the entry host that makes it
- * @param incarnation - its present life
- * @param sequence - different for each key of this life
- * @param nowMs - the present time since 1970; keys can be used for as long as results are kept
- * @param secret - shared by all entry hosts, so that callers cannot make up keys
- * @returns the key's text
+ * @param owner - the entry host that issues the key
+ * @param incarnation - the current incarnation of that host
+ * @param sequence - a number that is unique among the keys of this incarnation
+ * @param nowMs - the current Unix time; the key is valid for the retention time of results
+ * @param secret - shared by all entry hosts, so that callers cannot forge keys
+ * @returns the key as text
  * @public
  */
 export function mintKey (owner: EntryHostId, incarnation: number, sequence: number, nowMs: number, secret: string): string {
@@ -70,11 +70,11 @@
 }
 
 /**
- * Checks a key.
+ * Parses and validates a key.
  *
- * @param text - the header's value
- * @param secrets - valid secrets of the entry hosts
- * @returns the key, `undefined` when it is neither form
+ * @param text - the value of the request header
+ * @param secrets - the secrets of the entry hosts that are currently valid
+ * @returns the key, or `undefined` if the text is neither an authentic issued key nor a version 7 UUID
  * @public
  */
 export function parseKey (text: string, secrets: readonly string[]): IdempotencyKey | undefined {
--- a/packages/once/src/test/OnceFuzz.test.ts
+++ b/packages/once/src/test/OnceFuzz.test.ts
@@ -10,161 +10,174 @@
 const SHARD = 7
 const HOSTS = 3
 
-interface Life { readonly table: IdempotencyTable, readonly candidate: OwnerCandidate, readonly clockOffsetMs: number, isAlive: boolean, running: Set<string> }
+/** One incarnation of a simulated entry host. */
+interface HostInstance {
+  readonly table: IdempotencyTable
+  readonly candidate: OwnerCandidate
+  readonly clockOffsetMs: number
+  isAlive: boolean
+  running: Set<string>
+}
 
-/** Entry hosts, one shard, callers that repeat keys; the oracle counts runs. */
-class World {
+/** Simulates entry hosts that own one shard and callers that repeat keys, and counts the runs of each key. */
+class Simulation {
   readonly runs = new Map<string, number>()
   readonly keys: TimedKey[] = []
   nowMs = 1_000_000
   document: OwnershipDocument = NO_OWNERS
-  readonly lives = new Map<EntryHostId, Life>()
+  readonly instances = new Map<EntryHostId, HostInstance>()
   readonly gone = new Set<EntryHostId>()
   incarnation = 1
 
-  /** @param skewMs - the stated bound @param trustsEmptyTable - a seeded fault: a new owner takes its table for complete */
+  /**
+   * @param skewMs - the clock skew that the tables are configured for
+   * @param trustsEmptyTable - injects a fault: a new owner assumes that its empty table is complete
+   */
   constructor (readonly skewMs: number, readonly trustsEmptyTable = false) {
-    for (let index = 0; index < HOSTS; index++) this.begin(index)
-    this.tick(0)
+    for (let index = 0; index < HOSTS; index++) this.startHost(index)
+    this.reconcileOwnership(0)
   }
 
-  begin (index: number): void {
+  startHost (index: number): void {
     const entryHostId = createEntryHostId(`e${index}`)
-    const previous = this.lives.get(entryHostId)
+    const previous = this.instances.get(entryHostId)
     if (previous?.isAlive === true) return
     this.gone.delete(entryHostId)
     const table = new IdempotencyTable({ clockSkewMs: this.skewMs, retentionMs: RETENTION_MS })
-    // Clocks differ by at most the stated skew.
+    // Host clocks differ by at most SKEW_MS.
     const clockOffsetMs = [0, SKEW_MS / 2, -SKEW_MS / 2][index] ?? 0
-    this.lives.set(entryHostId, { table, candidate: { entryHostId, incarnation: this.incarnation++ }, clockOffsetMs, isAlive: true, running: new Set() })
+    this.instances.set(entryHostId, { table, candidate: { entryHostId, incarnation: this.incarnation++ }, clockOffsetMs, isAlive: true, running: new Set() })
   }
 
   crash (index: number, isListedGone: boolean): void {
     const id = createEntryHostId(`e${index}`)
-    const life = this.lives.get(id)
-    if (life === undefined || !life.isAlive) return
-    life.isAlive = false
+    const instance = this.instances.get(id)
+    if (instance === undefined || !instance.isAlive) return
+    instance.isAlive = false
     if (isListedGone) this.gone.add(id)
   }
 
-  viewOf (life: Life): OwnershipPlanningInput {
-    const members = [...this.lives.values()].filter(({ isAlive }) => isAlive).map(({ candidate }) => candidate)
-    return { document: this.document, self: life.candidate, members, gone: this.gone }
+  planningInputFor (instance: HostInstance): OwnershipPlanningInput {
+    const members = [...this.instances.values()].filter(({ isAlive }) => isAlive).map(({ candidate }) => candidate)
+    return { document: this.document, self: instance.candidate, members, gone: this.gone }
   }
 
-  follow (): void {
-    for (const life of this.lives.values()) {
+  syncTables (): void {
+    for (const instance of this.instances.values()) {
       const owner = this.document.shards[SHARD]
-      const isOurs = owner?.owner === life.candidate.entryHostId && owner.incarnation === life.candidate.incarnation
-      if (isOurs && life.isAlive) life.table.addShard(SHARD, this.trustsEmptyTable ? 0 : owner.completeSinceMs)
-      else life.table.releaseShard(SHARD)
+      const isOwner = owner?.owner === instance.candidate.entryHostId && owner.incarnation === instance.candidate.incarnation
+      if (isOwner && instance.isAlive) instance.table.addShard(SHARD, this.trustsEmptyTable ? 0 : owner.completeSinceMs)
+      else instance.table.releaseShard(SHARD)
     }
   }
 
-  tick (index: number): void {
-    const life = this.lives.get(createEntryHostId(`e${index}`))
-    if (life === undefined || !life.isAlive) return
-    const taken = planTakeover(this.viewOf(life), this.nowMs + life.clockOffsetMs)
-    if (taken !== undefined) this.document = taken
-    this.follow()
-    const next = planHandover(this.viewOf(life), false).get(SHARD)
-    if (next !== undefined) this.handOver(life, next)
+  reconcileOwnership (index: number): void {
+    const instance = this.instances.get(createEntryHostId(`e${index}`))
+    if (instance === undefined || !instance.isAlive) return
+    const updated = planTakeover(this.planningInputFor(instance), this.nowMs + instance.clockOffsetMs)
+    if (updated !== undefined) this.document = updated
+    this.syncTables()
+    const next = planHandover(this.planningInputFor(instance), false).get(SHARD)
+    if (next !== undefined) this.handOver(instance, next)
   }
 
-  handOver (life: Life, next: OwnerCandidate): void {
-    const state = life.table.releaseShard(SHARD)
+  handOver (instance: HostInstance, next: OwnerCandidate): void {
+    const state = instance.table.releaseShard(SHARD)
     if (state === undefined) return
-    this.lives.get(next.entryHostId)?.table.importEntries(state.entries)
+    this.instances.get(next.entryHostId)?.table.importEntries(state.entries)
     const { completeSinceMs } = state
-    const moved = { owner: next.entryHostId, incarnation: next.incarnation, completeSinceMs }
-    const shards = this.document.shards.map((owner, shard) => shard === SHARD ? moved : owner)
+    const newOwner = { owner: next.entryHostId, incarnation: next.incarnation, completeSinceMs }
+    const shards = this.document.shards.map((owner, shard) => shard === SHARD ? newOwner : owner)
     this.document = { ...this.document, revision: this.document.revision + 1, shards }
-    this.follow()
+    this.syncTables()
   }
 
-  newKey (ageMs: number): void {
+  createKey (ageMs: number): void {
     this.keys.push({ form: 'timed', text: `k${this.keys.length}`, createdMs: this.nowMs - ageMs, shard: SHARD })
   }
 
-  call (keyIndex: number, ends: 'answered' | 'unknown' | 'not-run' | 'later'): void {
+  sendRequest (keyIndex: number, ends: 'answered' | 'unknown' | 'not-run' | 'later'): void {
     const key = this.keys[keyIndex % Math.max(1, this.keys.length)]
     const owner = this.document.shards[SHARD]
-    const life = owner === null || owner === undefined ? undefined : this.lives.get(owner.owner)
-    if (key === undefined || life === undefined || !life.isAlive || life.candidate.incarnation !== owner?.incarnation) return
-    // Callers' clocks may be ahead, so a key can seem to come from the near future.
-    const claim = life.table.claim(key, 'same', this.nowMs + life.clockOffsetMs)
+    const instance = owner === null || owner === undefined ? undefined : this.instances.get(owner.owner)
+    if (key === undefined || instance === undefined || !instance.isAlive || instance.candidate.incarnation !== owner?.incarnation) return
+    // A caller's clock may be ahead, so the key may have been created in the near future.
+    const claim = instance.table.claim(key, 'same', this.nowMs + instance.clockOffsetMs)
     if (claim !== 'run') return
     if (ends !== 'not-run') this.runs.set(key.text, (this.runs.get(key.text) ?? 0) + 1)
     if (ends === 'later') return
-    life.table.finish(key, ends === 'answered' ? { statusCode: 200, headers: [], body: Buffer.from('x') } : ends)
+    instance.table.finish(key, ends === 'answered' ? { statusCode: 200, headers: [], body: Buffer.from('x') } : ends)
   }
 }
 
-type Step = (world: World) => void
+type Step = (simulation: Simulation) => void
 const hostIndex = fc.nat({ max: HOSTS - 1 })
 const stepArbitrary: fc.Arbitrary<Step> = fc.oneof(
   {
     weight: 4,
     arbitrary: fc.oneof(fc.constantFrom(-SKEW_MS, 0, SKEW_MS / 4), fc.integer({ min: 0, max: RETENTION_MS }))
-      .map((ageMs): Step => (world) => world.newKey(ageMs))
+      .map((ageMs): Step => (simulation) => simulation.createKey(ageMs))
   },
   {
     weight: 8,
     arbitrary: fc.tuple(fc.nat({ max: 4 }), fc.constantFrom('answered' as const, 'unknown' as const, 'not-run' as const, 'later' as const))
-      .map(([key, ends]): Step => (world) => world.call(key, ends))
+      .map(([key, ends]): Step => (simulation) => simulation.sendRequest(key, ends))
   },
-  { weight: 4, arbitrary: hostIndex.map((index): Step => (world) => world.tick(index)) },
-  { weight: 2, arbitrary: fc.tuple(hostIndex, fc.boolean()).map(([index, isListed]): Step => (world) => world.crash(index, isListed)) },
+  { weight: 4, arbitrary: hostIndex.map((index): Step => (simulation) => simulation.reconcileOwnership(index)) },
+  { weight: 2, arbitrary: fc.tuple(hostIndex, fc.boolean()).map(([index, isListed]): Step => (simulation) => simulation.crash(index, isListed)) },
   {
     weight: 3,
-    arbitrary: fc.tuple(hostIndex, hostIndex).map(([lost, next]): Step => (world) => {
-      world.crash(lost, true)
-      world.tick(next)
+    arbitrary: fc.tuple(hostIndex, hostIndex).map(([lost, next]): Step => (simulation) => {
+      simulation.crash(lost, true)
+      simulation.reconcileOwnership(next)
     })
   },
-  { weight: 2, arbitrary: hostIndex.map((index): Step => (world) => world.begin(index)) },
-  { weight: 3, arbitrary: fc.oneof(fc.constantFrom(1, 20, 60), fc.integer({ min: 1, max: 2000 })).map((ms): Step => (world) => { world.nowMs += ms }) }
+  { weight: 2, arbitrary: hostIndex.map((index): Step => (simulation) => simulation.startHost(index)) },
+  {
+    weight: 3,
+    arbitrary: fc.oneof(fc.constantFrom(1, 20, 60), fc.integer({ min: 1, max: 2000 })).map((ms): Step => (simulation) => { simulation.nowMs += ms })
+  }
 )
 
-/** A key runs, its owner is lost, and the next owner's clock is behind. */
-function replaceUnderKey (world: World): World {
-  world.nowMs += 20 + 3 * world.skewMs
-  world.newKey(0)
-  world.call(0, 'answered')
-  world.crash(0, true)
-  world.tick(2)
-  world.nowMs += 60
-  world.call(0, 'answered')
-  return world
+/** Runs a key, loses its owner, and repeats the key at a new owner whose clock is behind. */
+function loseOwnerAfterRun (simulation: Simulation): Simulation {
+  simulation.nowMs += 20 + 3 * simulation.skewMs
+  simulation.createKey(0)
+  simulation.sendRequest(0, 'answered')
+  simulation.crash(0, true)
+  simulation.reconcileOwnership(2)
+  simulation.nowMs += 60
+  simulation.sendRequest(0, 'answered')
+  return simulation
 }
 
 const SEED = Number(process.env.FUZZ_SEED ?? 20261202)
 const RUNS = Number(process.env.FUZZ_RUNS ?? 1500)
 
-function property (skewMs: number, trustsEmptyTable = false): fc.IProperty<[Step[]]> {
+function atMostOneRun (skewMs: number, trustsEmptyTable = false): fc.IProperty<[Step[]]> {
   return fc.property(fc.array(stepArbitrary, { maxLength: 80 }), (steps) => {
-    const world = new World(skewMs, trustsEmptyTable)
+    const simulation = new Simulation(skewMs, trustsEmptyTable)
     for (const step of steps) {
-      step(world)
-      for (const [key, count] of world.runs) expect(count, key).to.be.at.most(1)
+      step(simulation)
+      for (const [key, count] of simulation.runs) expect(count, key).to.be.at.most(1)
     }
   })
 }
 
-describe('keys through crashes, replacements, handovers and differing clocks', () => {
+describe('idempotency keys during crashes, replacements, handovers and clock skew', () => {
   it('run at most once', () => {
-    fc.assert(property(SKEW_MS), { seed: SEED, numRuns: RUNS })
+    fc.assert(atMostOneRun(SKEW_MS), { seed: SEED, numRuns: RUNS })
   }).timeout(60_000)
 
-  it('run once when their owner is replaced by a host with a slower clock', () => {
-    expect(replaceUnderKey(new World(SKEW_MS)).runs.get('k0')).to.equal(1)
+  it('run once when their owner is replaced by a host whose clock is behind', () => {
+    expect(loseOwnerAfterRun(new Simulation(SKEW_MS)).runs.get('k0')).to.equal(1)
   })
 
-  it('are caught running twice by that case when the clocks differ by more than was stated', () => {
-    expect(replaceUnderKey(new World(0)).runs.get('k0')).to.equal(2)
+  it('run twice in that case when the clocks differ by more than the configured skew', () => {
+    expect(loseOwnerAfterRun(new Simulation(0)).runs.get('k0')).to.equal(2)
   })
 
-  it('are caught running twice when a new owner trusts its empty table', () => {
-    expect(fc.check(property(SKEW_MS, true), { seed: SEED, numRuns: RUNS }).failed).to.equal(true)
+  it('run twice, and the property fails, when a new owner trusts its empty table', () => {
+    expect(fc.check(atMostOneRun(SKEW_MS, true), { seed: SEED, numRuns: RUNS }).failed).to.equal(true)
   }).timeout(60_000)
 })
