--- a/packages/once/src/lib/IdempotencyTable.ts
+++ b/packages/once/src/lib/IdempotencyTable.ts
@@ -36,7 +36,7 @@
 
 /**
  * Outcome of a claim. The request may run only after `run`; `running`, `answered` and `unknown` give the state of an earlier request with
- * the same key, and the others are reasons for rejection.
+ * the same key, and the others are reasons for refusal.
  *
  * @public
  */
@@ -152,8 +152,8 @@
     this.#evictExpired(nowMs)
     const entry = this.#entries.get(key.text)
     if (entry !== undefined) return entry.fingerprint === fingerprint ? entry.record.state : 'mismatch'
-    const rejection = this.#rejectByAge(key, nowMs)
-    if (rejection !== undefined) return rejection
+    const refusal = this.#rejectByAge(key, nowMs)
+    if (refusal !== undefined) return refusal
     if (this.#entries.size >= this.#options.maxKeys) return 'full'
     this.#entries.set(key.text, { record: { state: 'running' }, fingerprint, createdMs: key.createdMs, shard: key.form === 'timed' ? key.shard : -1, waiters: [] })
     return 'run'
--- a/packages/once/src/lib/KeyOwnership.ts
+++ b/packages/once/src/lib/KeyOwnership.ts
@@ -87,19 +87,19 @@
  * @public
  */
 export function planHandover (input: OwnershipPlanningInput, isStopping: boolean): Map<number, OwnerCandidate> {
-  const otherMembers = input.members.filter(({ entryHostId }) => entryHostId !== input.self.entryHostId)
+  const others = input.members.filter(({ entryHostId }) => entryHostId !== input.self.entryHostId)
   const newOwners = new Map<number, OwnerCandidate>()
-  if (otherMembers.length === 0) return newOwners
-  const shardCounts = new Map(otherMembers.map(({ entryHostId }) => [entryHostId, 0]))
+  if (others.length === 0) return newOwners
+  const counts = new Map(others.map(({ entryHostId }) => [entryHostId, 0]))
   for (const owner of input.document.shards) {
-    if (owner !== null && shardCounts.has(owner.owner)) shardCounts.set(owner.owner, (shardCounts.get(owner.owner) ?? 0) + 1)
+    if (owner !== null && counts.has(owner.owner)) counts.set(owner.owner, (counts.get(owner.owner) ?? 0) + 1)
   }
   const isOwnedBySelf = (owner: ShardOwner | null): boolean => owner?.owner === input.self.entryHostId && owner.incarnation === input.self.incarnation
   const ownShards = input.document.shards.flatMap((owner, shard) => isOwnedBySelf(owner) ? [shard] : [])
   const keptCount = isStopping ? 0 : Math.ceil(KEY_SHARD_COUNT / input.members.length)
   for (const shard of ownShards.slice(keptCount)) {
-    const newOwner = otherMembers.reduce((a, b) => (shardCounts.get(b.entryHostId) ?? 0) < (shardCounts.get(a.entryHostId) ?? 0) ? b : a)
-    shardCounts.set(newOwner.entryHostId, (shardCounts.get(newOwner.entryHostId) ?? 0) + 1)
+    const newOwner = others.reduce((a, b) => (counts.get(b.entryHostId) ?? 0) < (counts.get(a.entryHostId) ?? 0) ? b : a)
+    counts.set(newOwner.entryHostId, (counts.get(newOwner.entryHostId) ?? 0) + 1)
     newOwners.set(shard, newOwner)
   }
   return newOwners
