--- a/packages/entry/src/lib/JobManager.ts
+++ b/packages/entry/src/lib/JobManager.ts
@@ -7,7 +7,7 @@
 import { randomUUID } from 'node:crypto'
 import { QuillscaleError, type AvailabilityZone, type EntryHostId, type ErrorKind, type HostId } from '@quillscale/model'
 import type { KeyValueStore } from '@quillscale/ports'
-import { MAX_JOBS_A_ZONE, impossibleReason, isEnded, isPlaced, jobSubmissionSchema, type Job, type JobSubmission } from '@quillscale/jobs'
+import { MAX_JOBS_PER_ZONE, findUnschedulableReason, isEnded, isPlaced, jobSubmissionSchema, type Job, type JobSubmission } from '@quillscale/jobs'
 import type { PeerMesh } from '@quillscale/membership'
 import { JOB_TOPICS, holderAnswerSchema, jobIdSchema, submitSchema, viewOf, type JobView } from './jobMessages.js'
 import { JobRunner, type JobRunnerOptions } from './JobRunner.js'
@@ -189,10 +189,10 @@
   }
 
   #refuseImpossible (submission: JobSubmission): void {
-    const isFull = Object.keys(this.#jobs.jobs).length >= MAX_JOBS_A_ZONE
+    const isFull = Object.keys(this.#jobs.jobs).length >= MAX_JOBS_PER_ZONE
     if (isFull) throw new QuillscaleError('overloaded', 'the zone has as many jobs as it can hold', { retryAfterMs: 5000 })
     const quota = this.#options.replica.declarations('team').get(submission.team)?.spec.quotaSlots
-    const reason = impossibleReason(submission, this.#runner.workers(), quota)
+    const reason = findUnschedulableReason(submission, this.#runner.workers(), quota)
     if (reason !== undefined) throw new QuillscaleError('job-impossible', reason)
   }
 }
--- a/packages/entry/src/lib/JobRunner.ts
+++ b/packages/entry/src/lib/JobRunner.ts
@@ -10,8 +10,8 @@
 import type { ListedHost, TaskReport, WorkerTasks } from '@quillscale/ports'
 import type { ConfigurationReplica } from '@quillscale/configuration'
 import {
-  ENDED_JOB_KEPT_MS, SizeEstimates, WorkerHealth, isEnded, isPlaced, planJobs, settleJob, taskIdOf,
-  type Job, type JobWorker, type JobsContext, type RunReport
+  ENDED_JOB_RETENTION_MS, JobSizeEstimator, WorkerHealth, isEnded, isPlaced, planJobs, applyRunReport, taskIdOf,
+  type Job, type JobWorker, type JobsPlanningContext, type RunReport
 } from '@quillscale/jobs'
 import type { JobStore } from './JobStore.js'
 import { listJobWorkers } from './listJobWorkers.js'
@@ -38,7 +38,7 @@
   readonly #options: JobRunnerOptions
   readonly #jobs: JobStore
   readonly #token: () => number | undefined
-  readonly #sizes = new SizeEstimates()
+  readonly #sizes = new JobSizeEstimator()
   readonly #health = new WorkerHealth()
   readonly #lastAnswerMs = new Map<string, number>()
   #lastRenewMs = -Infinity
@@ -71,7 +71,7 @@
   workers (): JobWorker[] {
     const { registry, replica, clock } = this.#options
     const nowMs = clock.wallMs()
-    return listJobWorkers({ registry, replica, isApart: (hostId) => this.#health.isApart(hostId, nowMs) }, nowMs)
+    return listJobWorkers({ registry, replica, isApart: (hostId) => this.#health.isQuarantined(hostId, nowMs) }, nowMs)
   }
 
   /** @param job - one that was placed @returns what its worker told at the end of its task, `undefined` without an answer */
@@ -87,7 +87,7 @@
     return hostId === undefined ? undefined : this.#options.registry.placed.get(hostId)?.host
   }
 
-  #context (): JobsContext {
+  #context (): JobsPlanningContext {
     const { replica, zoneCount } = this.#options
     const teams = replica.declarations('team')
     return {
@@ -120,7 +120,7 @@
 
   #learn (job: Job, report: TaskReport): void {
     this.#lastAnswerMs.set(job.jobId, this.#options.clock.wallMs())
-    if (report.state === 'done') this.#sizes.note(job.team, job.kind, job.slots, report.usedSlots)
+    if (report.state === 'done') this.#sizes.addSample(job.team, job.kind, job.slots, report.usedSlots)
     if (job.hostId === undefined) return
     if (report.state === 'done') this.#health.succeeded(job.hostId)
     if (report.state === 'failed') this.#health.failed(job.hostId, job.jobId, job.failedOn.length > 0, this.#options.clock.wallMs())
@@ -131,7 +131,7 @@
     const settled = (job: Job): Job => {
       const report = reports.get(job.jobId)
       const lastAnswerMs = Math.max(this.#lastAnswerMs.get(job.jobId) ?? 0, this.#takenOverMs)
-      return report === undefined || !isPlaced(job) ? job : settleJob(job, report, { nowMs, leaseMs: TASK_LEASE_MS, lastAnswerMs })
+      return report === undefined || !isPlaced(job) ? job : applyRunReport(job, report, { nowMs, leaseMs: TASK_LEASE_MS, lastAnswerMs })
     }
     if (Object.values(this.#jobs.jobs).every((job) => settled(job) === job)) return
     await this.#jobs.commit((jobs) => { for (const [jobId, job] of jobs) jobs.set(jobId, settled(job)) })
@@ -143,7 +143,7 @@
     const plan = planJobs(Object.values(this.#jobs.jobs), this.workers(), this.#context(), clock.wallMs())
     const leaving = Object.values(this.#jobs.jobs).filter((job) => job.state === 'running' && !job.atMostOnce && job.hostId !== undefined &&
       registry.placed.get(job.hostId)?.isLeaving === true)
-    await Promise.all([...plan.giveWay.map(({ jobId }) => this.#jobs.find(jobId)), ...leaving].map(async (job) => this.#requeue(job)))
+    await Promise.all([...plan.preempt.map(({ jobId }) => this.#jobs.find(jobId)), ...leaving].map(async (job) => this.#requeue(job)))
     if (plan.start.length === 0) return
     const started = new Map<string, Job>()
     const result = await this.#jobs.commit((jobs) => {
@@ -184,7 +184,7 @@
       const current = jobs.get(job.jobId)
       if (current === undefined || !isPlaced(current) || current.attempt !== job.attempt) return
       if (report.state === 'done') {
-        jobs.set(job.jobId, settleJob(current, report, { nowMs, leaseMs: TASK_LEASE_MS, lastAnswerMs: nowMs }))
+        jobs.set(job.jobId, applyRunReport(current, report, { nowMs, leaseMs: TASK_LEASE_MS, lastAnswerMs: nowMs }))
       } else {
         const checkpoint = report.checkpoint ?? current.checkpoint
         jobs.set(job.jobId, { ...current, state: 'queued', hostId: undefined, sinceMs: nowMs, checkpoint, reason: 'gave way' })
@@ -194,7 +194,7 @@
 
   async #forget (): Promise<void> {
     const nowMs = this.#options.clock.wallMs()
-    const isOld = (job: Job): boolean => isEnded(job) && nowMs - job.sinceMs > ENDED_JOB_KEPT_MS
+    const isOld = (job: Job): boolean => isEnded(job) && nowMs - job.sinceMs > ENDED_JOB_RETENTION_MS
     if (!Object.values(this.#jobs.jobs).some(isOld)) return
     await this.#jobs.commit((jobs) => { for (const [jobId, job] of jobs) if (isOld(job)) jobs.delete(jobId) })
     for (const jobId of this.#lastAnswerMs.keys()) if (this.#jobs.jobs[jobId] === undefined) this.#lastAnswerMs.delete(jobId)
--- a/packages/entry/src/lib/listJobWorkers.ts
+++ b/packages/entry/src/lib/listJobWorkers.ts
@@ -36,6 +36,6 @@
     const due = dueMaintenance({ labels, version: host.version }, maintenances)
     // Work is not placed where it would be drained soon.
     const isDue = due !== undefined && windowOpenUntilMs(due.spec.windows, wallMs) !== undefined
-    return [{ hostId: host.hostId, labels, slots, isOpen: !isLeaving && !isDue && !isApart(host.hostId) }]
+    return [{ hostId: host.hostId, labels, slots, isSchedulable: !isLeaving && !isDue && !isApart(host.hostId) }]
   })
 }
--- a/packages/jobs/src/index.ts
+++ b/packages/jobs/src/index.ts
@@ -4,10 +4,10 @@
  * @module
  */
 export {
-  ENDED_JOB_KEPT_MS, MAX_JOBS_A_ZONE, NO_JOBS, isEnded, isPlaced, jobSubmissionSchema, jobsDocumentSchema, taskIdOf,
+  ENDED_JOB_RETENTION_MS, MAX_JOBS_PER_ZONE, NO_JOBS, isEnded, isPlaced, jobSubmissionSchema, jobsDocumentSchema, taskIdOf,
   type Job, type JobSubmission, type JobsDocument
 } from './lib/JobsDocument.js'
-export { impossibleReason, planJobs, type JobWorker, type JobsContext, type JobsPlan } from './lib/planJobs.js'
-export { MAX_FAILED_HOSTS, settleJob, type RunClock, type RunReport } from './lib/settleJob.js'
-export { SIZE_ESTIMATE_DEFAULTS, SizeEstimates, type SizeEstimateOptions } from './lib/SizeEstimates.js'
+export { findUnschedulableReason, planJobs, type JobWorker, type JobsPlanningContext, type JobsPlan } from './lib/planJobs.js'
+export { MAX_FAILED_HOSTS, applyRunReport, type ReportTiming, type RunReport } from './lib/applyRunReport.js'
+export { JOB_SIZE_ESTIMATOR_DEFAULTS, JobSizeEstimator, type JobSizeEstimatorOptions } from './lib/JobSizeEstimator.js'
 export { WORKER_HEALTH_DEFAULTS, WorkerHealth, type WorkerHealthOptions } from './lib/WorkerHealth.js'
--- a/packages/jobs/src/lib/JobsDocument.ts
+++ b/packages/jobs/src/lib/JobsDocument.ts
@@ -7,9 +7,9 @@
 import { isHostId, labelSelectorSchema, type HostId } from '@quillscale/model'
 
 /** The most jobs that a zone's document holds, well below the platform's value size. @public */
-export const MAX_JOBS_A_ZONE = 2500
+export const MAX_JOBS_PER_ZONE = 2500
 /** How long an ended job can be asked about. @public */
-export const ENDED_JOB_KEPT_MS = 600_000
+export const ENDED_JOB_RETENTION_MS = 600_000
 const MAX_COMMAND_LENGTH = 2000
 
 /** Checks a job as it is submitted. @public */
@@ -61,10 +61,10 @@
 /** A zone without jobs. @public */
 export const NO_JOBS: JobsDocument = { revision: 0, fencingToken: 0, jobs: {} }
 
-const ENDED: ReadonlySet<Job['state']> = new Set(['done', 'failed', 'cancelled', 'lost'])
+const ENDED_STATES: ReadonlySet<Job['state']> = new Set(['done', 'failed', 'cancelled', 'lost'])
 
 /** @param job - any @returns whether it has ended @public */
-export const isEnded = (job: Job): boolean => ENDED.has(job.state)
+export const isEnded = (job: Job): boolean => ENDED_STATES.has(job.state)
 /** @param job - any @returns whether it holds slots of a host @public */
 export const isPlaced = (job: Job): boolean => job.state === 'starting' || job.state === 'running'
 /** @param job - any @returns the id of its present run at a worker @public */
--- a/packages/jobs/src/lib/WorkerHealth.ts
+++ b/packages/jobs/src/lib/WorkerHealth.ts
@@ -8,20 +8,20 @@
 /** When a worker is set apart. @public */
 export interface WorkerHealthOptions {
   /** Different jobs in a row that must fail on it; 3 by default. */
-  readonly jobsInRow: number
+  readonly failedJobsInRow: number
   /** How long it gets no jobs; 120000 by default, doubled each time up to 16 times. */
-  readonly apartMs: number
+  readonly quarantineMs: number
 }
 
 /** The documented defaults. @public */
-export const WORKER_HEALTH_DEFAULTS: WorkerHealthOptions = { jobsInRow: 3, apartMs: 120_000 }
-const MAX_FACTOR = 16
+export const WORKER_HEALTH_DEFAULTS: WorkerHealthOptions = { failedJobsInRow: 3, quarantineMs: 120_000 }
+const MAX_QUARANTINE_FACTOR = 16
 
-interface Worker { failedJobs: Set<string>, apartUntilMs: number, factor: number }
+interface WorkerFailures { failedJobs: Set<string>, quarantinedUntilMs: number, factor: number }
 
 /** Judges workers by the jobs they fail. @public */
 export class WorkerHealth {
-  readonly #workers = new Map<HostId, Worker>()
+  readonly #workers = new Map<HostId, WorkerFailures>()
   readonly #options: WorkerHealthOptions
 
   /** @param options - when a worker is set apart, the defaults without them */
@@ -44,17 +44,17 @@
    */
   failed (hostId: HostId, jobId: string, failedElsewhere: boolean, nowMs: number): void {
     if (failedElsewhere) return
-    const worker = this.#workers.get(hostId) ?? { failedJobs: new Set<string>(), apartUntilMs: 0, factor: 1 }
+    const worker = this.#workers.get(hostId) ?? { failedJobs: new Set<string>(), quarantinedUntilMs: 0, factor: 1 }
     this.#workers.set(hostId, worker)
     worker.failedJobs.add(jobId)
-    if (worker.failedJobs.size < this.#options.jobsInRow) return
-    worker.apartUntilMs = nowMs + this.#options.apartMs * worker.factor
-    worker.factor = Math.min(MAX_FACTOR, worker.factor * 2)
+    if (worker.failedJobs.size < this.#options.failedJobsInRow) return
+    worker.quarantinedUntilMs = nowMs + this.#options.quarantineMs * worker.factor
+    worker.factor = Math.min(MAX_QUARANTINE_FACTOR, worker.factor * 2)
     worker.failedJobs.clear()
   }
 
   /** @param hostId - a worker @param nowMs - the present time @returns whether it gets no jobs */
-  isApart (hostId: HostId, nowMs: number): boolean {
-    return (this.#workers.get(hostId)?.apartUntilMs ?? 0) > nowMs
+  isQuarantined (hostId: HostId, nowMs: number): boolean {
+    return (this.#workers.get(hostId)?.quarantinedUntilMs ?? 0) > nowMs
   }
 }
--- a/packages/jobs/src/lib/planJobs.ts
+++ b/packages/jobs/src/lib/planJobs.ts
@@ -13,11 +13,11 @@
   /** Slots for jobs. */
   readonly slots: number
   /** It takes new work: healthy, not set apart, not about to be drained. */
-  readonly isOpen: boolean
+  readonly isSchedulable: boolean
 }
 
 /** What the decision knows besides jobs and workers. @public */
-export interface JobsContext {
+export interface JobsPlanningContext {
   /** Slots that a job is expected to need. */
   readonly sizeOf: (job: Job) => number
   /** Slots that a team may use in this zone now. */
@@ -30,12 +30,12 @@
 export interface JobsPlan {
   readonly start: ReadonlyArray<{ readonly jobId: string, readonly hostId: HostId }>
   /** Batch jobs to be stopped, with their checkpoint, and queued again. */
-  readonly giveWay: ReadonlyArray<{ readonly jobId: string, readonly hostId: HostId }>
+  readonly preempt: ReadonlyArray<{ readonly jobId: string, readonly hostId: HostId }>
 }
 
 const PRIORITY_RANK: Record<Job['priority'], number> = { urgent: 0, normal: 1, batch: 2 }
 /** A job is not stopped twice in a row for others: it would never end. */
-const MAX_TIMES_GIVEN_WAY = 3
+const MAX_ATTEMPTS_TO_PREEMPT = 3
 
 /**
  * Tells why no worker could ever run a job.
@@ -46,7 +46,7 @@
  * @returns the reason, `undefined` when some worker could
  * @public
  */
-export function impossibleReason (job: Pick<Job, 'selector' | 'slots' | 'team'>, workers: readonly JobWorker[], quota: number | undefined): string | undefined {
+export function findUnschedulableReason (job: Pick<Job, 'selector' | 'slots' | 'team'>, workers: readonly JobWorker[], quota: number | undefined): string | undefined {
   if (quota === undefined) return `no team ${job.team} is declared`
   if (job.slots > quota) return `it needs ${job.slots} slots and its team has ${quota}`
   const selected = workers.filter(({ labels }) => matchesSelector(job.selector, labels))
@@ -56,11 +56,11 @@
 }
 
 /** Slots in use, by worker and by team. */
-class Usage {
+class SlotUsage {
   readonly byWorker = new Map<HostId, number>()
   readonly byTeam = new Map<string, number>()
 
-  constructor (jobs: readonly Job[], readonly context: JobsContext) {
+  constructor (jobs: readonly Job[], readonly context: JobsPlanningContext) {
     for (const job of jobs) if (isPlaced(job) && job.hostId !== undefined) this.add(job, job.hostId, 1)
   }
 
@@ -80,7 +80,7 @@
 }
 
 /** Urgent first; then teams that use least of their weight; then who waited longest. */
-function inOrder (jobs: readonly Job[], usage: Usage): Job[] {
+function listQueuedInOrder (jobs: readonly Job[], usage: SlotUsage): Job[] {
   const shareOf = (job: Job): number => (usage.byTeam.get(job.team) ?? 0) / usage.context.weightOf(job.team)
   return jobs.filter(({ state }) => state === 'queued').map((job) => ({ job, share: shareOf(job) }))
     .sort((a, b) => PRIORITY_RANK[a.job.priority] - PRIORITY_RANK[b.job.priority] || a.share - b.share || a.job.submittedMs - b.job.submittedMs)
@@ -88,26 +88,26 @@
 }
 
 /** The fullest worker that still has room, so that large jobs find room elsewhere; never one it failed on. */
-function bestFit (job: Job, workers: readonly JobWorker[], usage: Usage): JobWorker | undefined {
+function findBestFit (job: Job, workers: readonly JobWorker[], usage: SlotUsage): JobWorker | undefined {
   const size = usage.context.sizeOf(job)
   let best: JobWorker | undefined
   for (const worker of workers) {
-    const isFit = worker.isOpen && usage.freeOf(worker) >= size && !job.failedOn.includes(worker.hostId) && matchesSelector(job.selector, worker.labels)
+    const isFit = worker.isSchedulable && usage.freeOf(worker) >= size && !job.failedOn.includes(worker.hostId) && matchesSelector(job.selector, worker.labels)
     if (isFit && (best === undefined || usage.freeOf(worker) < usage.freeOf(best))) best = worker
   }
   return best
 }
 
-interface Room { readonly worker: JobWorker, readonly victims: readonly Job[], readonly costMs: number }
+interface Preemption { readonly worker: JobWorker, readonly victims: readonly Job[], readonly costMs: number }
 
 /** The worker on which the least work is lost: batch jobs that began last, or that have a checkpoint, go first. */
-function cheapestRoom (job: Job, workers: readonly JobWorker[], jobs: readonly Job[], usage: Usage, nowMs: number): Room | undefined {
+function findCheapestPreemption (job: Job, workers: readonly JobWorker[], jobs: readonly Job[], usage: SlotUsage, nowMs: number): Preemption | undefined {
   const size = usage.context.sizeOf(job)
-  let best: Room | undefined
+  let best: Preemption | undefined
   for (const worker of workers) {
-    if (!worker.isOpen || !matchesSelector(job.selector, worker.labels) || job.failedOn.includes(worker.hostId)) continue
+    if (!worker.isSchedulable || !matchesSelector(job.selector, worker.labels) || job.failedOn.includes(worker.hostId)) continue
     const batch = jobs.filter((other) => other.hostId === worker.hostId && other.state === 'running' && other.priority === 'batch' &&
-      !other.atMostOnce && other.attempt <= MAX_TIMES_GIVEN_WAY)
+      !other.atMostOnce && other.attempt <= MAX_ATTEMPTS_TO_PREEMPT)
     const costOf = (other: Job): number => other.checkpoint === undefined ? nowMs - other.sinceMs : (nowMs - other.sinceMs) / 10
     const victims: Job[] = []
     let free = usage.freeOf(worker)
@@ -133,21 +133,21 @@
  * @returns what to start and what gives way; an urgent job starts once its room is free, in a later round
  * @public
  */
-export function planJobs (jobs: readonly Job[], workers: readonly JobWorker[], context: JobsContext, nowMs: number): JobsPlan {
-  const usage = new Usage(jobs, context)
+export function planJobs (jobs: readonly Job[], workers: readonly JobWorker[], context: JobsPlanningContext, nowMs: number): JobsPlan {
+  const usage = new SlotUsage(jobs, context)
   const start: Array<{ jobId: string, hostId: HostId }> = []
   const giveWay: Array<{ jobId: string, hostId: HostId }> = []
   const leaving = new Set<string>()
-  for (const job of inOrder(jobs, usage)) {
+  for (const job of listQueuedInOrder(jobs, usage)) {
     if (!usage.hasQuota(job)) continue
-    const worker = bestFit(job, workers, usage)
+    const worker = findBestFit(job, workers, usage)
     if (worker !== undefined) {
       usage.add(job, worker.hostId, 1)
       start.push({ jobId: job.jobId, hostId: worker.hostId })
       continue
     }
     if (job.priority !== 'urgent') continue
-    const room = cheapestRoom(job, workers, jobs.filter(({ jobId }) => !leaving.has(jobId)), usage, nowMs)
+    const room = findCheapestPreemption(job, workers, jobs.filter(({ jobId }) => !leaving.has(jobId)), usage, nowMs)
     if (room === undefined) continue
     for (const victim of room.victims) {
       leaving.add(victim.jobId)
@@ -157,5 +157,5 @@
     // The room is kept for the urgent job: nothing else is started there in this round.
     usage.add(job, room.worker.hostId, 1)
   }
-  return { start, giveWay }
+  return { start, preempt: giveWay }
 }
--- a/packages/jobs/src/test/jobs.test.ts
+++ b/packages/jobs/src/test/jobs.test.ts
@@ -2,9 +2,9 @@
 import fc from 'fast-check'
 import { createHostId } from '@quillscale/model'
 import { isPlaced, jobSubmissionSchema, type Job } from '../lib/JobsDocument.js'
-import { planJobs, type JobWorker, type JobsContext } from '../lib/planJobs.js'
-import { settleJob, type RunReport } from '../lib/settleJob.js'
-import { SizeEstimates } from '../lib/SizeEstimates.js'
+import { planJobs, type JobWorker, type JobsPlanningContext } from '../lib/planJobs.js'
+import { applyRunReport, type RunReport } from '../lib/applyRunReport.js'
+import { JobSizeEstimator } from '../lib/JobSizeEstimator.js'
 import { WorkerHealth } from '../lib/WorkerHealth.js'
 
 const HOST = createHostId('h0')
@@ -32,7 +32,7 @@
     ['a worker that has lost it after four lost runs', { ...running, lostRuns: 4 }, { state: 'unknown-task' }, 2000, 'failed']
   ]
   for (const [name, before, report, nowMs, state] of cases) {
-    it(`follows ${name}`, () => expect(settleJob(before, report, { nowMs, leaseMs: 10_000, lastAnswerMs: 1500 }).state).to.equal(state))
+    it(`follows ${name}`, () => expect(applyRunReport(before, report, { nowMs, leaseMs: 10_000, lastAnswerMs: 1500 }).state).to.equal(state))
   }
 })
 
@@ -40,7 +40,7 @@
   const RUN_MS = 12_000
   const LEASE_MS = 10_000
   const run = { hostId: HOST, state: 'running' as const, sinceMs: 0 }
-  const lose = (before: Job): Job => settleJob({ ...before, ...run }, { state: 'silent' }, { nowMs: RUN_MS, leaseMs: LEASE_MS, lastAnswerMs: 0 })
+  const lose = (before: Job): Job => applyRunReport({ ...before, ...run }, { state: 'silent' }, { nowMs: RUN_MS, leaseMs: LEASE_MS, lastAnswerMs: 0 })
 
   it('is given up after five runs in a row', () => {
     let current = job('a')
@@ -53,7 +53,7 @@
   it('is not given up for workers that were lost long after its start', () => {
     let current = job('a')
     for (let runs = 0; runs < 20; runs++) {
-      const survived = settleJob({ ...current, ...run }, { state: 'running' }, { nowMs: 60_000, leaseMs: LEASE_MS, lastAnswerMs: 60_000 })
+      const survived = applyRunReport({ ...current, ...run }, { state: 'running' }, { nowMs: 60_000, leaseMs: LEASE_MS, lastAnswerMs: 60_000 })
       current = lose(survived)
     }
     expect(current.state).to.equal('queued')
@@ -62,14 +62,14 @@
 
 describe('SizeEstimates', () => {
   it('learns what jobs of a kind really use', () => {
-    const sizes = new SizeEstimates()
-    for (let count = 0; count < 60; count++) sizes.note('t', 'k', 2, 8)
+    const sizes = new JobSizeEstimator()
+    for (let count = 0; count < 60; count++) sizes.addSample('t', 'k', 2, 8)
     expect(sizes.estimate('t', 'k', 2)).to.be.within(7, 8)
   })
 
   it('does not hold a team to one odd job', () => {
-    const sizes = new SizeEstimates()
-    sizes.note('t', 'k', 4, 400)
+    const sizes = new JobSizeEstimator()
+    sizes.addSample('t', 'k', 4, 400)
     expect(sizes.estimate('t', 'k', 4)).to.equal(4)
   })
 })
@@ -78,20 +78,20 @@
   it('sets a worker apart that fails different jobs in a row', () => {
     const health = new WorkerHealth()
     for (const jobId of ['a', 'b', 'c']) health.failed(HOST, jobId, false, 0)
-    expect([health.isApart(HOST, 1), health.isApart(HOST, 120_001)]).to.deep.equal([true, false])
+    expect([health.isQuarantined(HOST, 1), health.isQuarantined(HOST, 120_001)]).to.deep.equal([true, false])
   })
 
   it('does not blame it for jobs that fail elsewhere, or for one that fails again', () => {
     const health = new WorkerHealth()
     for (const jobId of ['a', 'b', 'c', 'd']) health.failed(HOST, jobId, true, 0)
     for (let count = 0; count < 5; count++) health.failed(HOST, 'e', false, 0)
-    expect(health.isApart(HOST, 1)).to.equal(false)
+    expect(health.isQuarantined(HOST, 1)).to.equal(false)
   })
 })
 
 describe('planJobs', () => {
-  const workers = Array.from({ length: 3 }, (_, index): JobWorker => ({ hostId: createHostId(`h${index}`), labels: {}, slots: 4, isOpen: index !== 2 }))
-  const context: JobsContext = { sizeOf: ({ slots }) => slots, quotaOf: () => 6, weightOf: () => 1 }
+  const workers = Array.from({ length: 3 }, (_, index): JobWorker => ({ hostId: createHostId(`h${index}`), labels: {}, slots: 4, isSchedulable: index !== 2 }))
+  const context: JobsPlanningContext = { sizeOf: ({ slots }) => slots, quotaOf: () => 6, weightOf: () => 1 }
   const jobArbitrary = fc.record({
     team: fc.constantFrom('a', 'b'),
     slots: fc.integer({ min: 1, max: 4 }),
@@ -104,7 +104,7 @@
     const plan = planJobs(jobs, open, context, 100)
     return jobs.map((one) => {
       const start = plan.start.find(({ jobId }) => jobId === one.jobId)
-      const isGivingWay = plan.giveWay.some(({ jobId }) => jobId === one.jobId)
+      const isGivingWay = plan.preempt.some(({ jobId }) => jobId === one.jobId)
       if (isGivingWay) return { ...one, state: 'queued' as const, hostId: undefined }
       return start === undefined ? one : { ...one, state: 'running' as const, hostId: start.hostId, attempt: one.attempt + 1 }
     })
@@ -113,7 +113,7 @@
   function check (jobs: readonly Job[]): void {
     for (const worker of workers) {
       const used = jobs.filter((one) => isPlaced(one) && one.hostId === worker.hostId).reduce((sum, { slots }) => sum + slots, 0)
-      expect(used, worker.hostId).to.be.at.most(worker.isOpen ? worker.slots : 0)
+      expect(used, worker.hostId).to.be.at.most(worker.isSchedulable ? worker.slots : 0)
     }
     for (const team of ['a', 'b']) {
       expect(jobs.filter((one) => isPlaced(one) && one.team === team).reduce((sum, { slots }) => sum + slots, 0), team).to.be.at.most(6)
@@ -135,6 +135,6 @@
   })
 
   it('is caught when it may use a closed worker', () => {
-    expect(fc.check(property(workers.map((worker) => ({ ...worker, isOpen: true }))), { seed, numRuns: 500 }).failed).to.equal(true)
+    expect(fc.check(property(workers.map((worker) => ({ ...worker, isSchedulable: true }))), { seed, numRuns: 500 }).failed).to.equal(true)
   })
 })
