--- a/packages/jobs/src/index.ts
+++ b/packages/jobs/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Decisions about long-running and urgent work.
+ * Scheduling of jobs within a zone: placement, preemption by urgent jobs, run reports, size estimates and worker quarantine.
  *
  * @module
  */
--- a/packages/jobs/src/lib/JobsDocument.ts
+++ b/packages/jobs/src/lib/JobsDocument.ts
@@ -1,71 +1,89 @@
 /**
- * The jobs of a zone as they are stored: one document, so that one compare-and-swap carries a batch of changes.
+ * Defines how the jobs of a zone are stored: in one document, so that a single compare-and-swap writes a batch of changes.
  *
  * @module
  */
 import { z } from 'zod'
 import { isHostId, labelSelectorSchema, type HostId } from '@quillscale/model'
 
-/** The most jobs that a zone's document holds, well below the platform's value size. @public */
+/** Maximum number of jobs in the document of a zone, which keeps it well below the platform's limit on the size of a value. @public */
 export const MAX_JOBS_PER_ZONE = 2500
-/** How long an ended job can be asked about. @public */
+/** Time for which an ended job is kept and can still be queried. @public */
 export const ENDED_JOB_RETENTION_MS = 600_000
 const MAX_COMMAND_LENGTH = 2000
 
-/** Checks a job as it is submitted. @public */
+/** Schema of a job submission. @public */
 export const jobSubmissionSchema = z.strictObject({
   team: z.string().min(1).max(63),
-  /** Sums up jobs of one kind: sizes are learned for each. */
+  /** Groups similar jobs of a team; their actual size is estimated per kind. */
   kind: z.string().min(1).max(63).default('default'),
   priority: z.enum(['urgent', 'normal', 'batch']).default('normal'),
-  /** Which hosts may run it. */
+  /** Selects the hosts that may run the job. */
   selector: labelSelectorSchema.default({ matchLabels: {}, matchExpressions: [] }),
-  /** Slots that it is said to need. */
+  /** Declared number of slots that the job needs. */
   slots: z.number().int().min(1).max(1000).default(1),
   command: z.string().min(1).max(MAX_COMMAND_LENGTH),
-  /** A job that may have run is then never started again. */
+  /** Whether the job must never be started again once it may have run. */
   atMostOnce: z.boolean().default(false)
 })
 
 const jobSchema = jobSubmissionSchema.extend({
   jobId: z.string(),
-  /** `starting` is written before the worker is asked; `lost` ends a job that may not run twice and may have run. */
+  /** `starting` is stored before the worker is asked to start the run; `lost` ends an at-most-once job that may have run. */
   state: z.enum(['queued', 'starting', 'running', 'done', 'failed', 'cancelled', 'lost']),
   submittedMs: z.number(),
-  /** Of the present state. */
+  /** Time at which the current state began. */
   sinceMs: z.number(),
   hostId: z.custom<HostId>(isHostId).optional(),
   attempt: z.number().int().default(0),
-  /** Hosts it failed on. */
+  /** Hosts on which the job has failed. */
   failedOn: z.array(z.string()).default([]),
-  /** Runs in a row that were lost with their worker before they had gone on for long. */
+  /** Number of consecutive runs that were lost with their worker soon after their start. */
   lostRuns: z.number().int().default(0),
   checkpoint: z.string().optional(),
   reason: z.string().optional()
 })
 
-/** Checks a zone's jobs. @public */
+/** Schema of the stored jobs of a zone. @public */
 export const jobsDocumentSchema = z.object({
   revision: z.number().int().nonnegative(),
   fencingToken: z.number(),
   jobs: z.record(z.string(), jobSchema)
 })
 
-/** A job as it is submitted. @public */
+/** Job submission with its defaults filled in. @public */
 export type JobSubmission = z.infer<typeof jobSubmissionSchema>
-/** A job. @public */
+/** Stored job: its submission and its current state. @public */
 export type Job = z.infer<typeof jobSchema>
-/** A zone's jobs. @public */
+/** Stored jobs of a zone, by job id. @public */
 export type JobsDocument = z.infer<typeof jobsDocumentSchema>
 
-/** A zone without jobs. @public */
+/** Initial document of a zone, without jobs. @public */
 export const NO_JOBS: JobsDocument = { revision: 0, fencingToken: 0, jobs: {} }
 
 const ENDED_STATES: ReadonlySet<Job['state']> = new Set(['done', 'failed', 'cancelled', 'lost'])
 
-/** @param job - any @returns whether it has ended @public */
+/**
+ * Tells whether a job has ended.
+ *
+ * @param job - the job
+ * @returns whether its state is final
+ * @public
+ */
 export const isEnded = (job: Job): boolean => ENDED_STATES.has(job.state)
-/** @param job - any @returns whether it holds slots of a host @public */
+/**
+ * Tells whether a job is placed, that is, occupies slots of a host.
+ *
+ * @param job - the job
+ * @returns whether it is starting or running
+ * @public
+ */
 export const isPlaced = (job: Job): boolean => job.state === 'starting' || job.state === 'running'
-/** @param job - any @returns the id of its present run at a worker @public */
+/**
+ * Returns the task id under which a worker knows the current run of a job.
+ *
+ * @param job - the job
+ * @returns the task id, which is different for each attempt
+ * @public
+ */
 export const taskIdOf = (job: Job): string => `${job.jobId}.${job.attempt}`
--- a/packages/jobs/src/lib/WorkerHealth.ts
+++ b/packages/jobs/src/lib/WorkerHealth.ts
@@ -1,46 +1,50 @@
 /**
- * Tells workers that fail everything from jobs that fail everywhere.
+ * Distinguishes workers that fail every job from jobs that fail on every worker.
  *
  * @module
  */
 import type { HostId } from '@quillscale/model'
 
-/** When a worker is set apart. @public */
+/** Settings of {@link WorkerHealth}. @public */
 export interface WorkerHealthOptions {
-  /** Different jobs in a row that must fail on it; 3 by default. */
+  /** Number of different jobs that must fail in a row on a worker before it is quarantined; 3 by default. */
   readonly failedJobsInRow: number
-  /** How long it gets no jobs; 120000 by default, doubled each time up to 16 times. */
+  /** Duration of the first quarantine; 120000 by default. It doubles with each further one, up to 16 times this value. */
   readonly quarantineMs: number
 }
 
-/** The documented defaults. @public */
+/** Default settings, as documented. @public */
 export const WORKER_HEALTH_DEFAULTS: WorkerHealthOptions = { failedJobsInRow: 3, quarantineMs: 120_000 }
 const MAX_QUARANTINE_FACTOR = 16
 
 interface WorkerFailures { failedJobs: Set<string>, quarantinedUntilMs: number, factor: number }
 
-/** Judges workers by the jobs they fail. @public */
+/** Quarantines workers on which several different jobs fail in a row. A quarantined worker gets no jobs. @public */
 export class WorkerHealth {
   readonly #workers = new Map<HostId, WorkerFailures>()
   readonly #options: WorkerHealthOptions
 
-  /** @param options - when a worker is set apart, the defaults without them */
+  /** @param options - settings that differ from {@link WORKER_HEALTH_DEFAULTS} */
   constructor (options: Partial<WorkerHealthOptions> = {}) {
     this.#options = { ...WORKER_HEALTH_DEFAULTS, ...options }
   }
 
-  /** @param hostId - a worker on which a job succeeded */
+  /**
+   * Records that a job succeeded, which clears the failures and the quarantine of its worker.
+   *
+   * @param hostId - the host of the worker
+   */
   succeeded (hostId: HostId): void {
     this.#workers.delete(hostId)
   }
 
   /**
-   * Notes a failure.
+   * Records that a job failed, and quarantines its worker after enough failures.
    *
-   * @param hostId - the worker
-   * @param jobId - the job; failing twice it counts once
-   * @param failedElsewhere - it failed on other workers as well, so it says nothing about this one
-   * @param nowMs - the present time
+   * @param hostId - the host of the worker
+   * @param jobId - the job; repeated failures of the same job count once
+   * @param failedElsewhere - whether the job also failed on other workers; then its failure says nothing about this one
+   * @param nowMs - the current time
    */
   failed (hostId: HostId, jobId: string, failedElsewhere: boolean, nowMs: number): void {
     if (failedElsewhere) return
@@ -53,7 +57,13 @@
     worker.failedJobs.clear()
   }
 
-  /** @param hostId - a worker @param nowMs - the present time @returns whether it gets no jobs */
+  /**
+   * Tells whether a worker is quarantined.
+   *
+   * @param hostId - the host of the worker
+   * @param nowMs - the current time
+   * @returns whether it must not get jobs
+   */
   isQuarantined (hostId: HostId, nowMs: number): boolean {
     return (this.#workers.get(hostId)?.quarantinedUntilMs ?? 0) > nowMs
   }
--- a/packages/jobs/src/lib/applyRunReport.ts
+++ b/packages/jobs/src/lib/applyRunReport.ts
@@ -1,38 +1,39 @@
 /**
- * Decides what a worker's report makes of a job.
+ * Computes the next state of a placed job from the report on its run.
  *
  * @module
  */
 import type { TaskReport } from '@quillscale/ports'
 import type { Job } from './JobsDocument.js'
 
-/** Hosts that a job must fail on before it is given up: it is then the job, not the workers. @public */
+/** Number of hosts on which a job must fail before it is given up. By then the cause is the job, not the workers. @public */
 export const MAX_FAILED_HOSTS = 3
 
 /**
- * Runs in a row that may be lost with their worker. A job that ends each worker which starts it never fails by a worker's report; without a
- * bound it takes one worker after the other. Twice may be chance, and silence says little of the cause, so it is more than the failed ones.
+ * Number of consecutive runs that must be lost with their worker before a job is given up. A job that crashes every worker on which it
+ * starts is never reported as failed, so without this limit it would crash one worker after another. Two losses may be a coincidence, and
+ * an unresponsive worker tells little about the cause, so the limit is higher than {@link MAX_FAILED_HOSTS}.
  *
  * @public
  */
 export const MAX_LOST_RUNS = 5
-/** A run that was still reported so long after it began is not one that ends its worker by its start. */
+/** A run that is still reported this long after its start does not crash its worker by starting, and resets the count of lost runs. */
 const STABLE_RUN_MS = 30_000
 
-/** What is known of the present run. `silent`: the worker does not answer. @public */
+/** Report on the current run of a job. `silent` means that the worker does not respond, `refused` that it refused to start the run. @public */
 export type RunReport = Pick<TaskReport, 'state' | 'checkpoint' | 'detail'> | { readonly state: 'silent' | 'refused' }
 
-/** When a report is judged. @public */
+/** Times that are needed to evaluate a report. @public */
 export interface ReportTiming {
-  /** The present time since 1970. */
+  /** Current Unix time. */
   readonly nowMs: number
-  /** How long a task goes on without renewal. */
+  /** Time for which a task keeps running without renewal of its lease. */
   readonly leaseMs: number
-  /** When the worker last told of the run, or the present holder took over. */
+  /** Unix time of the last report of the worker on the run, or of the takeover by the current zone holder if that is later. */
   readonly lastAnswerMs: number
 }
 
-type ReportHandler = (job: Job, report: RunReport, clock: ReportTiming) => Job
+type ReportHandler = (job: Job, report: RunReport, reportTiming: ReportTiming) => Job
 
 const changeState = (job: Job, nowMs: number, changes: Partial<Job>): Job => ({ ...job, sinceMs: nowMs, ...changes })
 
@@ -48,9 +49,12 @@
   return requeue(job, nowMs, detail ?? 'its run failed', { failedOn })
 }
 
-/** A run that may have happened: it ends as `lost` if it may not happen twice, else it waits again once its lease is over. */
-function handleLostRun (job: Job, nowMs: number, isOver: boolean): Job {
-  if (!isOver) return job
+/**
+ * Handles a run that may have been carried out. Nothing changes until it is certain that the run is over. Then an at-most-once job ends
+ * as `lost`, and any other job is queued again, or fails after too many lost runs in a row.
+ */
+function handleLostRun (job: Job, nowMs: number, isRunOver: boolean): Job {
+  if (!isRunOver) return job
   if (job.atMostOnce) return changeState(job, nowMs, { state: 'lost', reason: 'whether it ran is not known, and it may not run twice' })
   const lostRuns = job.lostRuns + 1
   if (lostRuns >= MAX_LOST_RUNS) return changeState(job, nowMs, { state: 'failed', lostRuns, reason: `its worker was lost ${lostRuns} times in a row soon after its start` })
@@ -61,28 +65,28 @@
   running: (job, report, { nowMs }) => {
     const checkpoint = 'checkpoint' in report ? report.checkpoint ?? job.checkpoint : job.checkpoint
     const lostRuns = job.state === 'running' && nowMs - job.sinceMs >= STABLE_RUN_MS ? 0 : job.lostRuns
-    const isNews = job.state !== 'running' || checkpoint !== job.checkpoint || lostRuns !== job.lostRuns
-    return isNews ? { ...job, state: 'running', sinceMs: job.state === 'running' ? job.sinceMs : nowMs, checkpoint, lostRuns } : job
+    const isChanged = job.state !== 'running' || checkpoint !== job.checkpoint || lostRuns !== job.lostRuns
+    return isChanged ? { ...job, state: 'running', sinceMs: job.state === 'running' ? job.sinceMs : nowMs, checkpoint, lostRuns } : job
   },
   done: (job, _report, { nowMs }) => changeState(job, nowMs, { state: 'done', reason: undefined }),
   failed: (job, report, { nowMs }) => handleFailedRun(job, report, nowMs),
-  // The worker says that it did not run.
+  // The worker confirms that the run did not start.
   refused: (job, _report, { nowMs }) => requeue(job, nowMs, 'its worker refused it'),
-  // While it starts, the order may still be on its way.
+  // While the job is starting, the worker may not have received the start request yet.
   'unknown-task': (job, _report, { nowMs, leaseMs }) => handleLostRun(job, nowMs, job.state === 'running' || nowMs - job.sinceMs >= leaseMs),
-  // A silent worker goes on until the lease that was last renewed is over.
+  // An unresponsive worker keeps the run going until the last renewed lease expires.
   silent: (job, _report, { nowMs, leaseMs, lastAnswerMs }) => handleLostRun(job, nowMs, nowMs - Math.max(lastAnswerMs, job.sinceMs) >= leaseMs)
 }
 
 /**
- * Decides what becomes of a placed job.
+ * Applies the report on its current run to a placed job.
  *
- * @param job - starting or running
- * @param report - of its worker
- * @param clock - when
- * @returns the job as it is now, the same one when nothing changed
+ * @param job - a job that is starting or running
+ * @param report - the report on its current run
+ * @param reportTiming - the times that are needed to evaluate the report
+ * @returns the updated job, or the same object if nothing changed
  * @public
  */
-export function applyRunReport (job: Job, report: RunReport, clock: ReportTiming): Job {
-  return REPORT_HANDLERS[report.state](job, report, clock)
+export function applyRunReport (job: Job, report: RunReport, reportTiming: ReportTiming): Job {
+  return REPORT_HANDLERS[report.state](job, report, reportTiming)
 }
--- a/packages/jobs/src/lib/planJobs.ts
+++ b/packages/jobs/src/lib/planJobs.ts
@@ -1,49 +1,49 @@
 /**
- * Decides which waiting jobs start where, and which running ones give way to urgent work.
+ * Plans which queued jobs start on which workers, and which running batch jobs are preempted by urgent ones.
  *
  * @module
  */
 import { matchesSelector, type HostId, type Labels } from '@quillscale/model'
 import { isPlaced, type Job } from './JobsDocument.js'
 
-/** A worker as the decision sees it. @public */
+/** Worker that can run jobs. @public */
 export interface JobWorker {
   readonly hostId: HostId
   readonly labels: Labels
-  /** Slots for jobs. */
+  /** Number of slots for jobs. */
   readonly slots: number
-  /** It takes new work: healthy, not set apart, not about to be drained. */
+  /** Whether the worker accepts new jobs: it is healthy, not quarantined and not about to be drained. */
   readonly isSchedulable: boolean
 }
 
-/** What the decision knows besides jobs and workers. @public */
+/** Job sizes, quotas and weights that planning uses besides jobs and workers. @public */
 export interface JobsPlanningContext {
-  /** Slots that a job is expected to need. */
+  /** Returns the estimated number of slots that a job needs. */
   readonly sizeOf: (job: Job) => number
-  /** Slots that a team may use in this zone now. */
+  /** Returns the number of slots that a team may currently use in this zone. */
   readonly quotaOf: (team: string) => number
-  /** Shares of teams that wait. */
+  /** Returns the weight of a team, by which slots are shared among teams with queued jobs. */
   readonly weightOf: (team: string) => number
 }
 
-/** What to do. @public */
+/** Jobs to start and jobs to preempt. @public */
 export interface JobsPlan {
   readonly start: ReadonlyArray<{ readonly jobId: string, readonly hostId: HostId }>
-  /** Batch jobs to be stopped, with their checkpoint, and queued again. */
+  /** Batch jobs to stop, keeping their checkpoint, and to queue again. */
   readonly preempt: ReadonlyArray<{ readonly jobId: string, readonly hostId: HostId }>
 }
 
 const PRIORITY_RANK: Record<Job['priority'], number> = { urgent: 0, normal: 1, batch: 2 }
-/** A job is not stopped twice in a row for others: it would never end. */
+/** Jobs with more attempts are no longer preempted, since a job that is preempted again and again would never end. */
 const MAX_ATTEMPTS_TO_PREEMPT = 3
 
 /**
- * Tells why no worker could ever run a job.
+ * Determines why a job can never be scheduled.
  *
  * @param job - the job
- * @param workers - all of the zone
- * @param quota - of its team in all zones, `undefined` when the team is not declared
- * @returns the reason, `undefined` when some worker could
+ * @param workers - all workers of the zone
+ * @param quota - the slots that the team of the job may use in all zones together, or `undefined` if the team is not declared
+ * @returns the reason, or `undefined` if some worker could run the job
  * @public
  */
 export function findUnschedulableReason (job: Pick<Job, 'selector' | 'slots' | 'team'>, workers: readonly JobWorker[], quota: number | undefined): string | undefined {
@@ -55,7 +55,7 @@
   return job.slots > largest ? `it needs ${job.slots} slots and the largest selected host has ${largest}` : undefined
 }
 
-/** Slots in use, by worker and by team. */
+/** Tracks the slots in use by worker and by team. */
 class SlotUsage {
   readonly byWorker = new Map<HostId, number>()
   readonly byTeam = new Map<string, number>()
@@ -79,7 +79,7 @@
   }
 }
 
-/** Urgent first; then teams that use least of their weight; then who waited longest. */
+/** Lists queued jobs in scheduling order: by priority, then teams that use the fewest slots relative to their weight, then oldest first. */
 function listQueuedInOrder (jobs: readonly Job[], usage: SlotUsage): Job[] {
   const shareOf = (job: Job): number => (usage.byTeam.get(job.team) ?? 0) / usage.context.weightOf(job.team)
   return jobs.filter(({ state }) => state === 'queued').map((job) => ({ job, share: shareOf(job) }))
@@ -87,20 +87,26 @@
     .map(({ job }) => job)
 }
 
-/** The fullest worker that still has room, so that large jobs find room elsewhere; never one it failed on. */
+/**
+ * Finds the schedulable worker with the fewest free slots that suffice, which leaves larger gaps on other workers for large jobs.
+ * Workers on which the job has failed are excluded.
+ */
 function findBestFit (job: Job, workers: readonly JobWorker[], usage: SlotUsage): JobWorker | undefined {
   const size = usage.context.sizeOf(job)
   let best: JobWorker | undefined
   for (const worker of workers) {
-    const isFit = worker.isSchedulable && usage.freeOf(worker) >= size && !job.failedOn.includes(worker.hostId) && matchesSelector(job.selector, worker.labels)
-    if (isFit && (best === undefined || usage.freeOf(worker) < usage.freeOf(best))) best = worker
+    const fits = worker.isSchedulable && usage.freeOf(worker) >= size && !job.failedOn.includes(worker.hostId) && matchesSelector(job.selector, worker.labels)
+    if (fits && (best === undefined || usage.freeOf(worker) < usage.freeOf(best))) best = worker
   }
   return best
 }
 
 interface Preemption { readonly worker: JobWorker, readonly victims: readonly Job[], readonly costMs: number }
 
-/** The worker on which the least work is lost: batch jobs that began last, or that have a checkpoint, go first. */
+/**
+ * Finds the worker on which preempting batch jobs for a job loses the least work. Jobs that started last or have a checkpoint are
+ * preempted first; with a checkpoint, only a tenth of the running time counts as lost.
+ */
 function findCheapestPreemption (job: Job, workers: readonly JobWorker[], jobs: readonly Job[], usage: SlotUsage, nowMs: number): Preemption | undefined {
   const size = usage.context.sizeOf(job)
   let best: Preemption | undefined
@@ -108,15 +114,15 @@
     if (!worker.isSchedulable || !matchesSelector(job.selector, worker.labels) || job.failedOn.includes(worker.hostId)) continue
     const batch = jobs.filter((other) => other.hostId === worker.hostId && other.state === 'running' && other.priority === 'batch' &&
       !other.atMostOnce && other.attempt <= MAX_ATTEMPTS_TO_PREEMPT)
-    const costOf = (other: Job): number => other.checkpoint === undefined ? nowMs - other.sinceMs : (nowMs - other.sinceMs) / 10
+    const preemptionCostMs = (other: Job): number => other.checkpoint === undefined ? nowMs - other.sinceMs : (nowMs - other.sinceMs) / 10
     const victims: Job[] = []
     let free = usage.freeOf(worker)
     let costMs = 0
-    for (const victim of batch.sort((a, b) => costOf(a) - costOf(b))) {
+    for (const victim of batch.sort((a, b) => preemptionCostMs(a) - preemptionCostMs(b))) {
       if (free >= size) break
       victims.push(victim)
       free += usage.context.sizeOf(victim)
-      costMs += costOf(victim)
+      costMs += preemptionCostMs(victim)
     }
     if (free >= size && (best === undefined || costMs < best.costMs)) best = { worker, victims, costMs }
   }
@@ -124,19 +130,19 @@
 }
 
 /**
- * Decides for one zone.
+ * Plans which jobs of one zone to start and which to preempt.
  *
- * @param jobs - its jobs
- * @param workers - its workers
- * @param context - sizes, quotas and weights
- * @param nowMs - the present time since 1970
- * @returns what to start and what gives way; an urgent job starts once its room is free, in a later round
+ * @param jobs - the jobs of the zone
+ * @param workers - the workers of the zone
+ * @param context - job sizes, quotas and weights
+ * @param nowMs - the current Unix time
+ * @returns the jobs to start and to preempt; an urgent job that needs preemption is started in a later round, once its slots are free
  * @public
  */
 export function planJobs (jobs: readonly Job[], workers: readonly JobWorker[], context: JobsPlanningContext, nowMs: number): JobsPlan {
   const usage = new SlotUsage(jobs, context)
   const start: Array<{ jobId: string, hostId: HostId }> = []
-  const giveWay: Array<{ jobId: string, hostId: HostId }> = []
+  const preempt: Array<{ jobId: string, hostId: HostId }> = []
   const leaving = new Set<string>()
   for (const job of listQueuedInOrder(jobs, usage)) {
     if (!usage.hasQuota(job)) continue
@@ -152,10 +158,10 @@
     for (const victim of room.victims) {
       leaving.add(victim.jobId)
       usage.add(victim, room.worker.hostId, -1)
-      giveWay.push({ jobId: victim.jobId, hostId: room.worker.hostId })
+      preempt.push({ jobId: victim.jobId, hostId: room.worker.hostId })
     }
-    // The room is kept for the urgent job: nothing else is started there in this round.
+    // The slots are reserved for the urgent job, so no other job is started in them in this round.
     usage.add(job, room.worker.hostId, 1)
   }
-  return { start, preempt: giveWay }
+  return { start, preempt }
 }
--- a/packages/jobs/src/test/jobs.test.ts
+++ b/packages/jobs/src/test/jobs.test.ts
@@ -14,74 +14,74 @@
   return { ...submission, jobId, state: 'queued', submittedMs: 0, sinceMs: 0, attempt: 0, failedOn: [], lostRuns: 0, ...changes }
 }
 
-describe('settleJob', () => {
+describe('applyRunReport', () => {
   const running = job('a', { state: 'running', hostId: HOST, attempt: 1, sinceMs: 1000 })
   const cases: Array<[string, Job, RunReport, number, Job['state']]> = [
-    ['a report that it is done', running, { state: 'done' }, 2000, 'done'],
+    ['a report that the run is done', running, { state: 'done' }, 2000, 'done'],
     ['a refusal', { ...running, state: 'starting' }, { state: 'refused' }, 2000, 'queued'],
     ['a failure', running, { state: 'failed' }, 2000, 'queued'],
-    ['a failure of what may run once', { ...running, atMostOnce: true }, { state: 'failed' }, 2000, 'failed'],
+    ['a failure of an at-most-once job', { ...running, atMostOnce: true }, { state: 'failed' }, 2000, 'failed'],
     ['a failure on the third host', { ...running, failedOn: ['x', 'y'] }, { state: 'failed' }, 2000, 'failed'],
-    ['a silence within the lease', running, { state: 'silent' }, 10_900, 'running'],
-    ['a silence beyond the lease', running, { state: 'silent' }, 12_000, 'queued'],
-    ['a silence beyond the lease of what may run once', { ...running, atMostOnce: true }, { state: 'silent' }, 12_000, 'lost'],
-    ['a worker that does not know it yet', { ...running, state: 'starting' }, { state: 'unknown-task' }, 2000, 'starting'],
-    ['a worker that has lost it', running, { state: 'unknown-task' }, 2000, 'queued'],
-    ['a silence after four lost runs', { ...running, lostRuns: 4 }, { state: 'silent' }, 12_000, 'failed'],
-    ['a silence after four lost runs of what may run once', { ...running, lostRuns: 4, atMostOnce: true }, { state: 'silent' }, 12_000, 'lost'],
-    ['a worker that has lost it after four lost runs', { ...running, lostRuns: 4 }, { state: 'unknown-task' }, 2000, 'failed']
+    ['an unresponsive worker within the lease', running, { state: 'silent' }, 10_900, 'running'],
+    ['an unresponsive worker after the lease', running, { state: 'silent' }, 12_000, 'queued'],
+    ['an unresponsive worker after the lease of an at-most-once job', { ...running, atMostOnce: true }, { state: 'silent' }, 12_000, 'lost'],
+    ['a worker that does not know the starting run yet', { ...running, state: 'starting' }, { state: 'unknown-task' }, 2000, 'starting'],
+    ['a worker that has lost the run', running, { state: 'unknown-task' }, 2000, 'queued'],
+    ['an unresponsive worker after four lost runs', { ...running, lostRuns: 4 }, { state: 'silent' }, 12_000, 'failed'],
+    ['an unresponsive worker after four lost runs of an at-most-once job', { ...running, lostRuns: 4, atMostOnce: true }, { state: 'silent' }, 12_000, 'lost'],
+    ['a worker that has lost the run after four lost runs', { ...running, lostRuns: 4 }, { state: 'unknown-task' }, 2000, 'failed']
   ]
   for (const [name, before, report, nowMs, state] of cases) {
-    it(`follows ${name}`, () => expect(applyRunReport(before, report, { nowMs, leaseMs: 10_000, lastAnswerMs: 1500 }).state).to.equal(state))
+    it(`handles ${name}`, () => expect(applyRunReport(before, report, { nowMs, leaseMs: 10_000, lastAnswerMs: 1500 }).state).to.equal(state))
   }
 })
 
-describe('a job whose workers are lost', () => {
+describe('a job that loses its workers', () => {
   const RUN_MS = 12_000
   const LEASE_MS = 10_000
   const run = { hostId: HOST, state: 'running' as const, sinceMs: 0 }
-  const lose = (before: Job): Job => applyRunReport({ ...before, ...run }, { state: 'silent' }, { nowMs: RUN_MS, leaseMs: LEASE_MS, lastAnswerMs: 0 })
+  const loseRun = (before: Job): Job => applyRunReport({ ...before, ...run }, { state: 'silent' }, { nowMs: RUN_MS, leaseMs: LEASE_MS, lastAnswerMs: 0 })
 
-  it('is given up after five runs in a row', () => {
+  it('is given up after five lost runs in a row', () => {
     let current = job('a')
     let runs = 0
-    for (; current.state === 'queued' && runs < 20; runs++) current = lose(current)
+    for (; current.state === 'queued' && runs < 20; runs++) current = loseRun(current)
     expect([current.state, runs]).to.deep.equal(['failed', 5])
     expect(current.reason).to.include('its worker was lost 5 times')
   })
 
-  it('is not given up for workers that were lost long after its start', () => {
+  it('is not given up if its workers are lost long after its start', () => {
     let current = job('a')
     for (let runs = 0; runs < 20; runs++) {
       const survived = applyRunReport({ ...current, ...run }, { state: 'running' }, { nowMs: 60_000, leaseMs: LEASE_MS, lastAnswerMs: 60_000 })
-      current = lose(survived)
+      current = loseRun(survived)
     }
     expect(current.state).to.equal('queued')
   })
 })
 
-describe('SizeEstimates', () => {
-  it('learns what jobs of a kind really use', () => {
-    const sizes = new JobSizeEstimator()
-    for (let count = 0; count < 60; count++) sizes.addSample('t', 'k', 2, 8)
-    expect(sizes.estimate('t', 'k', 2)).to.be.within(7, 8)
+describe('JobSizeEstimator', () => {
+  it('learns the actual usage of jobs of a kind', () => {
+    const estimator = new JobSizeEstimator()
+    for (let count = 0; count < 60; count++) estimator.addSample('t', 'k', 2, 8)
+    expect(estimator.estimate('t', 'k', 2)).to.be.within(7, 8)
   })
 
-  it('does not hold a team to one odd job', () => {
-    const sizes = new JobSizeEstimator()
-    sizes.addSample('t', 'k', 4, 400)
-    expect(sizes.estimate('t', 'k', 4)).to.equal(4)
+  it('does not change an estimate for a single outlier', () => {
+    const estimator = new JobSizeEstimator()
+    estimator.addSample('t', 'k', 4, 400)
+    expect(estimator.estimate('t', 'k', 4)).to.equal(4)
   })
 })
 
 describe('WorkerHealth', () => {
-  it('sets a worker apart that fails different jobs in a row', () => {
+  it('quarantines a worker on which different jobs fail in a row', () => {
     const health = new WorkerHealth()
     for (const jobId of ['a', 'b', 'c']) health.failed(HOST, jobId, false, 0)
     expect([health.isQuarantined(HOST, 1), health.isQuarantined(HOST, 120_001)]).to.deep.equal([true, false])
   })
 
-  it('does not blame it for jobs that fail elsewhere, or for one that fails again', () => {
+  it('ignores jobs that also fail elsewhere, and repeated failures of the same job', () => {
     const health = new WorkerHealth()
     for (const jobId of ['a', 'b', 'c', 'd']) health.failed(HOST, jobId, true, 0)
     for (let count = 0; count < 5; count++) health.failed(HOST, 'e', false, 0)
@@ -100,12 +100,12 @@
   })
   const seed = Number(process.env.FUZZ_SEED ?? 20261202)
 
-  function apply (jobs: readonly Job[], open: readonly JobWorker[]): Job[] {
-    const plan = planJobs(jobs, open, context, 100)
+  function apply (jobs: readonly Job[], planningWorkers: readonly JobWorker[]): Job[] {
+    const plan = planJobs(jobs, planningWorkers, context, 100)
     return jobs.map((one) => {
       const start = plan.start.find(({ jobId }) => jobId === one.jobId)
-      const isGivingWay = plan.preempt.some(({ jobId }) => jobId === one.jobId)
-      if (isGivingWay) return { ...one, state: 'queued' as const, hostId: undefined }
+      const isPreempted = plan.preempt.some(({ jobId }) => jobId === one.jobId)
+      if (isPreempted) return { ...one, state: 'queued' as const, hostId: undefined }
       return start === undefined ? one : { ...one, state: 'running' as const, hostId: start.hostId, attempt: one.attempt + 1 }
     })
   }
@@ -120,21 +120,21 @@
     }
   }
 
-  const property = (open: readonly JobWorker[]): fc.IProperty<[Array<Array<Pick<Job, 'team' | 'slots' | 'priority' | 'state'>>>]> =>
+  const limitsHold = (planningWorkers: readonly JobWorker[]): fc.IProperty<[Array<Array<Pick<Job, 'team' | 'slots' | 'priority' | 'state'>>>]> =>
     fc.property(fc.array(fc.array(jobArbitrary, { maxLength: 6 }), { minLength: 1, maxLength: 6 }), (rounds) => {
       let jobs: Job[] = []
       rounds.forEach((arriving, round) => {
-        jobs = apply([...jobs, ...arriving.map((one, index) => job(`${round}-${index}`, one))], open)
+        jobs = apply([...jobs, ...arriving.map((one, index) => job(`${round}-${index}`, one))], planningWorkers)
         check(jobs)
         for (const one of jobs) if (one.state === 'running') expect(one.attempt).to.be.at.least(1)
       })
     })
 
-  it('never over-commits a worker or a quota, nor starts what has ended', () => {
-    fc.assert(property(workers), { seed, numRuns: 500 })
+  it('never exceeds the slots of a worker or a quota, nor starts ended jobs', () => {
+    fc.assert(limitsHold(workers), { seed, numRuns: 500 })
   })
 
-  it('is caught when it may use a closed worker', () => {
-    expect(fc.check(property(workers.map((worker) => ({ ...worker, isSchedulable: true }))), { seed, numRuns: 500 }).failed).to.equal(true)
+  it('fails the property when it may use an unschedulable worker', () => {
+    expect(fc.check(limitsHold(workers.map((worker) => ({ ...worker, isSchedulable: true }))), { seed, numRuns: 500 }).failed).to.equal(true)
   })
 })
--- a/packages/once/src/lib/IdempotencyTable.ts
+++ b/packages/once/src/lib/IdempotencyTable.ts
@@ -35,8 +35,8 @@
 }
 
 /**
- * Outcome of a claim. The request may run only after `run`; `running`, `answered` and `unknown` give the state of an earlier request with
- * the same key, and the others are reasons for refusal.
+ * Outcome of a claim. The request may run only after `run`. `running` and `answered` tell the state of an earlier request with the same
+ * key, `unknown` means that one may have run here or at a previous owner, and the others are reasons for refusal.
  *
  * @public
  */
