--- a/packages/scheduler/src/test/ServiceScheduler.test.ts
+++ b/packages/scheduler/src/test/ServiceScheduler.test.ts
@@ -268,10 +268,10 @@
     await service.submit(1, { runMs: 0 }, [{ taskCount: 2, isLasting: true, maxAway: 1 }])
     await service.until('both run', () => first?.active.size === 1 && second?.active.size === 1)
     await delay(100)
-    if (first !== undefined) first.stopTakesMs = 400
+    if (first !== undefined) first.stopDelayMs = 400
     const next = service.addWorker(2, 1, 2000)
     service.write(vacateKey(SERVICE, 'm1'), 'upkeep 1.1')
-    await service.until('one is being stopped', () => first?.stopsTaken === 1)
+    await service.until('one is being stopped', () => first?.acceptedStopCount === 1)
     former.scheduler.close()
     service.write(vacateKey(SERVICE, 'm0'), 'upkeep 1.1')
     await service.takeOver()
--- a/packages/scheduler/src/test/shrinkingWorkers.test.ts
+++ b/packages/scheduler/src/test/shrinkingWorkers.test.ts
@@ -74,7 +74,7 @@
   {
     name: 'a task that is being stopped still uses capacity',
     play: async (fleet) => {
-      fleet.worker.stopTakesMs = 600
+      fleet.worker.stopDelayMs = 600
       const stopped = await fleet.service.submit(1, { runMs: 0 }, [{ taskCount: 8, isLasting: true }])
       await fleet.service.until('all run', () => fleet.worker.active.size === 8)
       await fleet.service.jobApi.cancel(stopped, [SERVICE], performance.now() + 1000)
@@ -108,12 +108,12 @@
       it(`is not told to start tasks that do not fit, ${guardsCapacity ? 'and would refuse them' : 'though it would start them'}: ${name}`, async () => {
         fleet = new ResizableWorkerService()
         fleet.service.maxLeaseMs = 10_000
-        fleet.worker.guardsCapacity = guardsCapacity
+        fleet.worker.refusesOverload = guardsCapacity
         await fleet.service.takeOver()
         await delay(REGISTRATION_DELAY_MS)
         const jobId = await play(fleet)
         await fleet.service.untilStatus(jobId, 'succeeded')
-        expect(fleet.worker.overloadedMs).to.deep.equal([])
+        expect(fleet.worker.overloadTimesMs).to.deep.equal([])
       })
     }
   }
--- a/packages/soak/src/lib/FaultProxy.ts
+++ b/packages/soak/src/lib/FaultProxy.ts
@@ -9,15 +9,15 @@
 /** What happens to what is sent: `to` the target, `from` it, or both ways. @public */
 export type LinkFault = 'none' | 'delay' | 'reset' | 'refuse' | 'silent' | 'silent-to' | 'silent-from'
 
-interface Pair { readonly inbound: Socket, readonly outbound: Socket }
+interface ProxiedConnection { readonly inbound: Socket, readonly outbound: Socket }
 
 const LOCAL = '127.0.0.1'
 /** A slow link: well below what a call waits for. */
-const DELAY_MS = 150
+const LINK_DELAY_MS = 150
 
 /** The proxy. @public */
 export class FaultProxy {
-  readonly #pairs = new Set<Pair>()
+  readonly #connections = new Set<ProxiedConnection>()
   readonly #server: Server = createServer((inbound) => this.#accept(inbound))
   readonly #targetPort: number
   #fault: LinkFault = 'none'
@@ -37,7 +37,7 @@
     const wasSilent = this.#fault.startsWith('silent')
     this.#fault = fault
     if (fault !== 'reset' && !wasSilent) return
-    for (const { inbound, outbound } of this.#pairs) {
+    for (const { inbound, outbound } of this.#connections) {
       inbound.resetAndDestroy()
       outbound.destroy()
     }
@@ -46,7 +46,7 @@
   /** Ends everything. */
   close (): void {
     this.#server.close()
-    for (const { inbound, outbound } of this.#pairs) {
+    for (const { inbound, outbound } of this.#connections) {
       inbound.destroy()
       outbound.destroy()
     }
@@ -58,23 +58,23 @@
       return
     }
     const outbound = connect(this.#targetPort, LOCAL)
-    const pair: Pair = { inbound, outbound }
-    this.#pairs.add(pair)
-    this.#join(inbound, outbound, 'silent-to', pair)
-    this.#join(outbound, inbound, 'silent-from', pair)
+    const connection: ProxiedConnection = { inbound, outbound }
+    this.#connections.add(connection)
+    this.#forward(inbound, outbound, 'silent-to', connection)
+    this.#forward(outbound, inbound, 'silent-from', connection)
   }
 
-  #join (source: Socket, sink: Socket, oneWay: LinkFault, pair: Pair): void {
+  #forward (source: Socket, sink: Socket, oneWay: LinkFault, connection: ProxiedConnection): void {
     source.on('data', (chunk) => {
       if (this.#fault === 'silent' || this.#fault === oneWay) return
-      if (this.#fault === 'delay') setTimeout(() => { if (!sink.destroyed) sink.write(chunk) }, DELAY_MS)
+      if (this.#fault === 'delay') setTimeout(() => { if (!sink.destroyed) sink.write(chunk) }, LINK_DELAY_MS)
       else sink.write(chunk)
     })
     // A broken connection ends its other half; there is nothing else to do about it.
     source.on('error', () => sink.destroy())
     source.on('close', () => {
       sink.destroy()
-      this.#pairs.delete(pair)
+      this.#connections.delete(connection)
     })
   }
 }
--- a/packages/soak/src/lib/History.ts
+++ b/packages/soak/src/lib/History.ts
@@ -7,14 +7,14 @@
 import type { LimitChange, SoakAccount } from './SoakAccounts.js'
 
 /** What a client was told of a job it handed in: `accepted` once, `refused` each time, or at least once nothing certain. @public */
-export type SubmitView = 'accepted' | 'refused' | 'unknown'
+export type SubmitOutcome = 'accepted' | 'refused' | 'unknown'
 
 /** A job as its client sees it. @public */
 export interface JobView {
   readonly jobId: string
   readonly steps: readonly CallerStep[]
   readonly account: SoakAccount
-  submitted: SubmitView
+  submitted: SubmitOutcome
   acceptedMs: number | undefined
   cancelAcknowledgedMs: number | undefined
   /** Each of its tasks ends the worker that starts it. */
--- a/packages/soak/src/lib/checkPromises.ts
+++ b/packages/soak/src/lib/checkPromises.ts
@@ -11,17 +11,17 @@
 export interface BrokenPromise { readonly promise: string, readonly detail: string }
 
 /** A cancelled job starts nothing after this, and runs nothing a stop later; a job is told of after this. From the users' sites. */
-const CANCEL_MS = 3000
-const STOP_MS = 1000
-const VISIBLE_MS = 3000
+const CANCEL_START_MS = 3000
+const CANCEL_STOP_MS = 1000
+const JOB_VISIBLE_MS = 3000
 /** Orders of two holders for one machine are this far apart. */
-const HOLDER_CHANGE_MS = 3000
+const MIN_HOLDER_CHANGE_MS = 3000
 /** A request counts as read if its connection broke later than this after it was sent. */
-const LOSS_SLACK_MS = 200
+const UNREAD_REQUEST_MS = 200
 /** After so many workers ended under a task it may be started so often more; a room that shrank counts after this. From the users' sites. */
-const CRASHES = 3
-const MOST_STARTS_MORE = 2
-const SHRUNK_COUNTS_MS = 3000 + 1500
+const CRASH_LIMIT = 3
+const MAX_EXTRA_STARTS = 2
+const CAPACITY_UPDATE_MS = 3000 + 1500
 
 const OK = 200
 const UNAUTHORIZED = 401
@@ -36,65 +36,65 @@
   return groups
 }
 
-function acceptedAreKept ({ jobs }: History): string[] {
+function findLostJobs ({ jobs }: History): string[] {
   return jobs.filter(({ submitted }) => submitted === 'accepted').flatMap((job) => {
-    const lasts = job.steps.some(({ isLasting }) => isLasting)
-    const goal = job.crashesWorkers ? 'failed' : lasts ? 'running' : 'succeeded'
-    const isGood = job.finalState === goal || (job.isCancelSent && ['cancelled', 'succeeded'].includes(job.finalState))
-    return isGood ? [] : [`${job.jobId} was accepted and is shown as "${job.finalState}"`]
+    const isLastingJob = job.steps.some(({ isLasting }) => isLasting)
+    const expectedState = job.crashesWorkers ? 'failed' : isLastingJob ? 'running' : 'succeeded'
+    const isExpected = job.finalState === expectedState || (job.isCancelSent && ['cancelled', 'succeeded'].includes(job.finalState))
+    return isExpected ? [] : [`${job.jobId} was accepted and is shown as "${job.finalState}"`]
   })
 }
 
-function acceptedAreKnown ({ jobs }: History): string[] {
+function findForgottenJobs ({ jobs }: History): string[] {
   return jobs.flatMap(({ jobId, acceptedMs, isCancelSent, unknownAtMs }) => {
-    const lateMs = unknownAtMs.find((atMs) => acceptedMs !== undefined && atMs > acceptedMs + VISIBLE_MS)
-    return lateMs === undefined || isCancelSent ? [] : [`${jobId} was accepted at ${acceptedMs} and not known at ${lateMs}`]
+    const unknownMs = unknownAtMs.find((atMs) => acceptedMs !== undefined && atMs > acceptedMs + JOB_VISIBLE_MS)
+    return unknownMs === undefined || isCancelSent ? [] : [`${jobId} was accepted at ${acceptedMs} and not known at ${unknownMs}`]
   })
 }
 
-function refusedNeverRun ({ jobs, runs }: History): string[] {
+function findRefusedJobRuns ({ jobs, runs }: History): string[] {
   const refused = new Set(jobs.filter(({ submitted }) => submitted === 'refused').map(({ jobId }) => jobId))
   return runs.filter(({ taskKey }) => refused.has(jobIdOf(taskKey))).map(({ taskKey }) => `${taskKey} ran though its job was refused`)
 }
 
-function nothingUnasked ({ jobs, runs }: History): string[] {
-  const known = new Set(jobs.map(({ jobId }) => jobId))
-  return runs.filter(({ taskKey }) => !known.has(jobIdOf(taskKey))).map(({ taskKey }) => `${taskKey} ran and nobody asked for it`)
+function findUnrequestedRuns ({ jobs, runs }: History): string[] {
+  const submitted = new Set(jobs.map(({ jobId }) => jobId))
+  return runs.filter(({ taskKey }) => !submitted.has(jobIdOf(taskKey))).map(({ taskKey }) => `${taskKey} ran and nobody asked for it`)
 }
 
 /** Two runs at a time, or one after an end that was taken note of. */
-function overlaps (first: FleetRunRecord, second: FleetRunRecord): boolean {
+function isDuplicate (first: FleetRunRecord, second: FleetRunRecord): boolean {
   return second.startedMs < endOf(first) || (first.end === 'done' && first.isAcknowledged)
 }
 
-function noTaskTwice ({ runs }: History): string[] {
-  return [...groupBy(runs, ({ taskKey }) => taskKey)].flatMap(([taskKey, ofTask]) => {
-    const sorted = [...ofTask].sort((a, b) => a.startedMs - b.startedMs)
-    const isDoubled = sorted.some((first, index) => sorted.slice(index + 1).some((second) => overlaps(first, second)))
-    return isDoubled ? [`${taskKey} ran twice: ${sorted.map((run) => `#${run.runNumber}@${run.instanceId} ${run.startedMs}-${run.endedMs} ${run.end}`).join(', ')}`] : []
+function findDuplicateRuns ({ runs }: History): string[] {
+  return [...groupBy(runs, ({ taskKey }) => taskKey)].flatMap(([taskKey, taskRuns]) => {
+    const sorted = [...taskRuns].sort((a, b) => a.startedMs - b.startedMs)
+    const isRepeated = sorted.some((first, index) => sorted.slice(index + 1).some((second) => isDuplicate(first, second)))
+    return isRepeated ? [`${taskKey} ran twice: ${sorted.map((run) => `#${run.runNumber}@${run.instanceId} ${run.startedMs}-${run.endedMs} ${run.end}`).join(', ')}`] : []
   })
 }
 
-function stepsInOrder ({ jobs, runs }: History): string[] {
+function findStepOrderViolations ({ jobs, runs }: History): string[] {
   const byJob = groupBy(runs, ({ taskKey }) => jobIdOf(taskKey))
   return jobs.flatMap((job) => (byJob.get(job.jobId) ?? []).filter((run) => !isInOrder(job, run, byJob.get(job.jobId) ?? []))
     .map(({ taskKey }) => `${taskKey} started before the steps that it depends on were done`))
 }
 
-function isInOrder (job: JobView, run: FleetRunRecord, ofJob: readonly FleetRunRecord[]): boolean {
+function isInOrder (job: JobView, run: FleetRunRecord, jobRuns: readonly FleetRunRecord[]): boolean {
   return (job.steps[stepOf(run.taskKey)]?.dependsOn ?? []).every((earlier) => {
-    const done = ofJob.filter((other) => stepOf(other.taskKey) === earlier && other.end === 'done' && endOf(other) <= run.startedMs)
+    const done = jobRuns.filter((other) => stepOf(other.taskKey) === earlier && other.end === 'done' && endOf(other) <= run.startedMs)
     return new Set(done.map(({ taskKey }) => taskKey)).size === job.steps[earlier]?.taskCount
   })
 }
 
-function cancelledEnd ({ jobs, runs }: History): string[] {
+function findRunsAfterCancel ({ jobs, runs }: History): string[] {
   const cancelled = new Map(jobs.map(({ jobId, cancelAcknowledgedMs }) => [jobId, cancelAcknowledgedMs]))
   return runs.flatMap((run) => {
     const atMs = cancelled.get(jobIdOf(run.taskKey))
     if (atMs === undefined) return []
-    if (run.startedMs > atMs + CANCEL_MS) return [`${run.taskKey} started ${run.startedMs - atMs} ms after its cancel was acknowledged`]
-    return endOf(run) > atMs + CANCEL_MS + STOP_MS + RUN_LEASE_MS ? [`${run.taskKey} ran on after its cancel`] : []
+    if (run.startedMs > atMs + CANCEL_START_MS) return [`${run.taskKey} started ${run.startedMs - atMs} ms after its cancel was acknowledged`]
+    return endOf(run) > atMs + CANCEL_START_MS + CANCEL_STOP_MS + RUN_LEASE_MS ? [`${run.taskKey} ran on after its cancel`] : []
   })
 }
 
@@ -102,14 +102,14 @@
 const RUN_LEASE_MS = 7000
 
 /** An order took a lasting task away while so many others of its step were away by orders. */
-function budgetsHold ({ jobs, runs }: History): string[] {
+function findExceededBudgets ({ jobs, runs }: History): string[] {
   const lasting = jobs.filter(({ steps, isCancelSent }) => !isCancelSent && steps[0]?.isLasting === true && steps[0].maxAway !== undefined)
   return lasting.flatMap((job) => {
-    const ofJob = runs.filter(({ taskKey }) => jobIdOf(taskKey) === job.jobId)
-    const ordered = ofJob.filter((run) => run.end === 'stopped' || run.endedByOrder)
-    const tasks = groupBy(ofJob, ({ taskKey }) => taskKey)
+    const jobRuns = runs.filter(({ taskKey }) => jobIdOf(taskKey) === job.jobId)
+    const ordered = jobRuns.filter((run) => run.end === 'stopped' || run.endedByOrder)
+    const tasks = groupBy(jobRuns, ({ taskKey }) => taskKey)
     return ordered.flatMap((run) => {
-      const away = [...tasks].filter(([taskKey, its]) => taskKey !== run.taskKey && isAwayByOrder(its, endOf(run)))
+      const away = [...tasks].filter(([taskKey, runsOfTask]) => taskKey !== run.taskKey && isAwayByOrder(runsOfTask, endOf(run)))
       return away.length < (job.steps[0]?.maxAway ?? Infinity) ? [] : [`${run.taskKey} was ended at ${run.endedMs} while ${away.length} others of its step were away`]
     })
   })
@@ -120,61 +120,61 @@
   return before !== undefined && endOf(before) < atMs && (before.end === 'stopped' || before.endedByOrder)
 }
 
-function oneHolderAMachine ({ orders }: History): string[] {
-  return [...groupBy(orders, ({ machineId }) => machineId)].flatMap(([machineId, its]) => its.slice(1).flatMap((order, index) => {
-    const before = its[index]
+function findConflictingHolders ({ orders }: History): string[] {
+  return [...groupBy(orders, ({ machineId }) => machineId)].flatMap(([machineId, machineOrders]) => machineOrders.slice(1).flatMap((order, index) => {
+    const before = machineOrders[index]
     if (before === undefined || before.holder === order.holder) return []
     if (order.fencingToken <= before.fencingToken) return [`${machineId}: the token fell from ${before.fencingToken} to ${order.fencingToken}`]
-    return order.atMs - before.atMs < HOLDER_CHANGE_MS ? [`${machineId}: two holders ordered it within ${order.atMs - before.atMs} ms`] : []
+    return order.atMs - before.atMs < MIN_HOLDER_CHANGE_MS ? [`${machineId}: two holders ordered it within ${order.atMs - before.atMs} ms`] : []
   }))
 }
 
-function wavesAreBounded ({ orders, maxInUpkeep }: History): string[] {
+function findOversizedWaves ({ orders, maxInUpkeep }: History): string[] {
   return orders.filter(({ kind, inUpkeep }) => kind === 'upkeep' && inUpkeep > maxInUpkeep).map(({ machineId, inUpkeep }) => `${machineId}: ${inUpkeep} were down for upkeep`)
 }
 
-function plannedStopsCutNothing ({ broken }: History): string[] {
-  return broken.filter(({ sentMs, brokenMs }) => brokenMs - sentMs > LOSS_SLACK_MS)
+function findAbortedRequests ({ broken }: History): string[] {
+  return broken.filter(({ sentMs, brokenMs }) => brokenMs - sentMs > UNREAD_REQUEST_MS)
     .map(({ hostName, sentMs, brokenMs }) => `${hostName} was stopped as planned and broke a request off that it had had for ${brokenMs - sentMs} ms`)
 }
 
-function processesLive ({ ends }: History): string[] {
+function findUnexpectedExits ({ ends }: History): string[] {
   return ends.filter(({ signal, exitCode }) => signal === '' || (signal === 'SIGTERM' && exitCode !== 0))
     .map(({ hostName, signal, exitCode }) => `${hostName} ended with ${exitCode} after ${signal === '' ? 'nothing' : signal}`)
 }
 
-function configurationHolds ({ probes }: History): string[] {
+function findConfigurationViolations ({ probes }: History): string[] {
   return probes.filter(({ status, mayExist, mayBeMissing }) => (status === 404 && !mayBeMissing) || (status === 200 && !mayExist))
     .map(({ hostName, status, sentMs }) => `${hostName} answered ${status} at ${sentMs} against the configuration in force`)
 }
 
 /** Of one job's tasks: starts after the third worker ended under the task. */
-function crashingAreBounded ({ jobs, runs }: History): string[] {
+function findUnboundedCrashes ({ jobs, runs }: History): string[] {
   const crashing = new Set(jobs.filter(({ crashesWorkers }) => crashesWorkers).map(({ jobId }) => jobId))
-  const ofTasks = groupBy(runs.filter(({ taskKey }) => crashing.has(jobIdOf(taskKey))), ({ taskKey }) => taskKey)
-  return [...ofTasks].flatMap(([taskKey, its]) => {
-    const ends = its.filter((run) => run.end === undefined && run.endedMs !== undefined && !run.endedByOrder).map(endOf).sort((a, b) => a - b)
-    const thirdMs = ends[CRASHES - 1] ?? Infinity
-    const starts = its.filter(({ startedMs }) => startedMs > thirdMs).length
-    return starts <= MOST_STARTS_MORE ? [] : [`${taskKey} was started ${starts} times after three workers had ended under it`]
+  const runsByTask = groupBy(runs.filter(({ taskKey }) => crashing.has(jobIdOf(taskKey))), ({ taskKey }) => taskKey)
+  return [...runsByTask].flatMap(([taskKey, runsOfTask]) => {
+    const ends = runsOfTask.filter((run) => run.end === undefined && run.endedMs !== undefined && !run.endedByOrder).map(endOf).sort((a, b) => a - b)
+    const limitReachedMs = ends[CRASH_LIMIT - 1] ?? Infinity
+    const starts = runsOfTask.filter(({ startedMs }) => startedMs > limitReachedMs).length
+    return starts <= MAX_EXTRA_STARTS ? [] : [`${taskKey} was started ${starts} times after three workers had ended under it`]
   })
 }
 
-function roomsHold ({ overloads }: History): string[] {
-  return overloads.filter(({ atMs, shrunkMs }) => atMs - shrunkMs > SHRUNK_COUNTS_MS)
+function findOverloads ({ overloads }: History): string[] {
+  return overloads.filter(({ atMs, shrunkMs }) => atMs - shrunkMs > CAPACITY_UPDATE_MS)
     .map(({ machineId, atMs, shrunkMs }) => `${machineId} was told to start what did not fit, ${atMs - shrunkMs} ms after it had shrunk`)
 }
 
-function keysHold ({ keyProbes }: History): string[] {
+function findKeyViolations ({ keyProbes }: History): string[] {
   return keyProbes.filter(({ status, mayHold, mustHold }) => (status === UNAUTHORIZED && mustHold) || (status === OK && !mayHold))
     .map(({ hostName, status, sentMs }) => `${hostName} answered ${status} at ${sentMs} against the keys in force`)
 }
 
-function limitsHold ({ jobs, runs, limits }: History): string[] {
+function findLimitViolations ({ jobs, runs, limits }: History): string[] {
   const limited = new Set(jobs.filter(({ account }) => account === ACCOUNTS[0]).map(({ jobId }) => jobId))
-  const its = runs.filter(({ taskKey }) => limited.has(jobIdOf(taskKey)))
-  return its.flatMap(({ taskKey, startedMs }) => {
-    const running = its.filter((other) => other.startedMs <= startedMs && endOf(other) > startedMs).length
+  const limitedRuns = runs.filter(({ taskKey }) => limited.has(jobIdOf(taskKey)))
+  return limitedRuns.flatMap(({ taskKey, startedMs }) => {
+    const running = limitedRuns.filter((other) => other.startedMs <= startedMs && endOf(other) > startedMs).length
     const inForce = limits.filter(({ atMs }, index) => atMs <= startedMs && (limits[index + 1]?.atMs ?? Infinity) > startedMs - APPLY_MS)
     const allowed = Math.max(...inForce.map(({ tasks }) => tasks))
     return running <= allowed ? [] : [`${taskKey} was started as the ${running}th at once of an account that may have ${allowed}`]
@@ -183,23 +183,23 @@
 
 /** Every promise, and how it is checked. @public */
 export const PROMISES: Readonly<Record<string, (history: History) => string[]>> = {
-  'an accepted job is kept': acceptedAreKept,
-  'an accepted job is known': acceptedAreKnown,
-  'a refused job never runs': refusedNeverRun,
-  'nothing runs unasked': nothingUnasked,
-  'no task runs twice': noTaskTwice,
-  'steps run in their order': stepsInOrder,
-  'a cancelled job ends': cancelledEnd,
-  'no more lasting tasks away than allowed': budgetsHold,
-  'one holder orders a machine': oneHolderAMachine,
-  'waves are bounded': wavesAreBounded,
-  'a planned stop cuts nothing off': plannedStopsCutNothing,
-  'processes end only when told': processesLive,
-  'configuration holds and never goes back': configurationHolds,
-  'a task that crashes workers is given up': crashingAreBounded,
-  'no worker is overloaded': roomsHold,
-  'keys hold': keysHold,
-  'limits hold': limitsHold
+  'an accepted job is kept': findLostJobs,
+  'an accepted job is known': findForgottenJobs,
+  'a refused job never runs': findRefusedJobRuns,
+  'nothing runs unasked': findUnrequestedRuns,
+  'no task runs twice': findDuplicateRuns,
+  'steps run in their order': findStepOrderViolations,
+  'a cancelled job ends': findRunsAfterCancel,
+  'no more lasting tasks away than allowed': findExceededBudgets,
+  'one holder orders a machine': findConflictingHolders,
+  'waves are bounded': findOversizedWaves,
+  'a planned stop cuts nothing off': findAbortedRequests,
+  'processes end only when told': findUnexpectedExits,
+  'configuration holds and never goes back': findConfigurationViolations,
+  'a task that crashes workers is given up': findUnboundedCrashes,
+  'no worker is overloaded': findOverloads,
+  'keys hold': findKeyViolations,
+  'limits hold': findLimitViolations
 }
 
 /** @param history - of a run @returns every broken promise @public */
--- a/packages/soak/src/lib/runSoak.ts
+++ b/packages/soak/src/lib/runSoak.ts
@@ -11,7 +11,7 @@
 import { FAULTS, planFaults, type PlannedFault } from './faults.js'
 import type { History } from './History.js'
 import { SoakCallers } from './SoakCallers.js'
-import { MAX_IN_UPKEEP, SoakWorld } from './SoakWorld.js'
+import { MAX_IN_MAINTENANCE, SoakEnvironment } from './SoakEnvironment.js'
 
 /** A run. @public */
 export interface SoakOptions {
@@ -38,7 +38,7 @@
 }
 
 /** The program is up and holds its duties after this. */
-const START_MS = 2500
+const STARTUP_MS = 2500
 /** Longer than a lease of a run and a cut of the usual length: what was lost runs again. */
 const SETTLE_MS = 25_000
 
@@ -46,32 +46,32 @@
 export async function runSoak ({ seed, lengthMs, hosts, machinesPerService, kindCount }: SoakOptions): Promise<SoakResult> {
   const directory = mkdtempSync(join(tmpdir(), `soak-${seed}-`))
   const random = new SeededRandom(seed)
-  const world = new SoakWorld(systemClock, { hosts, machinesPerService })
-  const callers = new SoakCallers(world, new SeededRandom(seed + 1))
+  const environment = new SoakEnvironment(systemClock, { hosts, machinesPerService })
+  const callers = new SoakCallers(environment, new SeededRandom(seed + 1))
   const faults = planFaults(random, lengthMs, kindCount)
   try {
-    await world.start(hosts, directory, random)
-    await delay(START_MS)
+    await environment.start(hosts, directory, random)
+    await delay(STARTUP_MS)
     void callers.run()
-    await play(world, random, faults, lengthMs)
-    world.heal()
+    await playFaults(environment, random, faults, lengthMs)
+    environment.heal()
     await callers.stop()
-    await callers.settle(SETTLE_MS)
+    await callers.awaitFinalStates(SETTLE_MS)
   } finally {
-    await world.close()
+    await environment.close()
   }
   const history: History = {
     jobs: callers.jobs,
-    runs: world.fleet.runs,
-    orders: world.fleet.orders,
-    overloads: world.fleet.overloads,
+    runs: environment.fleet.runs,
+    orders: environment.fleet.orders,
+    overloads: environment.fleet.overloads,
     // The last ends are the soak's own.
-    ends: world.hosts.flatMap(({ ends }) => ends.slice(0, -1)),
+    ends: environment.hosts.flatMap(({ ends }) => ends.slice(0, -1)),
     broken: callers.broken,
     probes: callers.probes,
     keyProbes: callers.keyProbes,
-    limits: world.accounts.limits,
-    maxInUpkeep: MAX_IN_UPKEEP
+    limits: environment.accounts.limits,
+    maxInUpkeep: MAX_IN_MAINTENANCE
   }
   const broken = checkPromises(history)
   if (broken.length === 0) rmSync(directory, { recursive: true })
@@ -81,12 +81,12 @@
   return { seed, broken, faults, directory, accepted, jobs: jobs.length, runs: runs.length, orders: orders.length, probes: probes.length }
 }
 
-async function play (world: SoakWorld, random: SeededRandom, faults: readonly PlannedFault[], lengthMs: number): Promise<void> {
-  const startedMs = world.clock.monotonicMs()
+async function playFaults (environment: SoakEnvironment, random: SeededRandom, faults: readonly PlannedFault[], lengthMs: number): Promise<void> {
+  const startedMs = environment.clock.monotonicMs()
   for (const { kind, atMs, forMs } of faults) {
-    await delay(Math.max(0, startedMs + atMs - world.clock.monotonicMs()))
-    const end = FAULTS[kind]?.(world, random, forMs)
+    await delay(Math.max(0, startedMs + atMs - environment.clock.monotonicMs()))
+    const end = FAULTS[kind]?.(environment, random, forMs)
     if (end !== undefined) setTimeout(end, forMs)
   }
-  await delay(Math.max(0, startedMs + lengthMs - world.clock.monotonicMs()))
+  await delay(Math.max(0, startedMs + lengthMs - environment.clock.monotonicMs()))
 }
--- a/packages/soak/src/skewedClock.ts
+++ b/packages/soak/src/skewedClock.ts
@@ -6,29 +6,29 @@
  */
 const STEP_MS = 2000
 /** The steady clock is read at least this often while the process runs. */
-const LOOK_MS = 5
+const SAMPLE_INTERVAL_MS = 5
 /** A longer time without a reading is the announced pause; the program never takes so long between two. */
-const LEAST_PAUSE_MS = 150
+const MIN_PAUSE_MS = 150
 
 const realNow = Date.now.bind(Date)
-const realSteadyMs = performance.now.bind(performance)
+const realMonotonicMs = performance.now.bind(performance)
 const offsetMs = Number(process.env.SOAK_CLOCK_OFFSET_MS ?? 0)
 let steppedMs = 0
 let isPauseAnnounced = false
-let lastSteadyMs = realSteadyMs()
+let lastMonotonicMs = realMonotonicMs()
 let suspendedMs = 0
 
 Date.now = () => realNow() + offsetMs + steppedMs
 performance.now = () => {
-  const nowMs = realSteadyMs()
-  const passedMs = nowMs - lastSteadyMs
-  lastSteadyMs = nowMs
-  if (isPauseAnnounced && passedMs >= LEAST_PAUSE_MS) {
+  const nowMs = realMonotonicMs()
+  const passedMs = nowMs - lastMonotonicMs
+  lastMonotonicMs = nowMs
+  if (isPauseAnnounced && passedMs >= MIN_PAUSE_MS) {
     suspendedMs += passedMs
     isPauseAnnounced = false
   }
   return nowMs - suspendedMs
 }
-setInterval(() => performance.now(), LOOK_MS).unref()
+setInterval(() => performance.now(), SAMPLE_INTERVAL_MS).unref()
 process.on('SIGUSR2', () => { steppedMs = steppedMs === 0 ? STEP_MS : 0 })
 process.on('SIGURG', () => { isPauseAnnounced = true })
--- a/packages/standins/src/lib/StandInPlatform.ts
+++ b/packages/standins/src/lib/StandInPlatform.ts
@@ -20,7 +20,7 @@
   readonly cutZones: Set<string>
 }
 
-interface Keyed { key: string, range_end?: string }
+interface KeyRange { key: string, range_end?: string }
 interface Txn {
   compare: Array<{ key: string, mod_revision: number }>
   success: Array<{ request_put?: { key: string, value: string, lease?: string }, request_delete_range?: { key: string } }>
@@ -32,7 +32,7 @@
 const decode = (text: string): string => Buffer.from(text, 'base64').toString()
 const WRITES = new Set(['/v3/kv/txn', '/v3/lease/grant', '/v3/lease/keepalive', '/v3/lease/revoke'])
 
-function valueOf<T> (result: Result<T, PlatformError>): T {
+function unwrap<T> (result: Result<T, PlatformError>): T {
   if (result.err) throw new Error(result.val.detail)
   return result.val
 }
@@ -95,7 +95,7 @@
     const url = new URL(request.url ?? '/', 'http://platform')
     const chunks: Buffer[] = []
     for await (const chunk of request) chunks.push(chunk as Buffer)
-    this.#count(url.pathname)
+    this.#countCall(url.pathname)
     if (this.faults.cutZones.has(zone)) return
     if (this.faults.isDown) {
       response.writeHead(503)
@@ -115,7 +115,7 @@
     response.end(JSON.stringify(answer ?? {}))
   }
 
-  #count (path: string): void {
+  #countCall (path: string): void {
     const kind = path.startsWith('/v1/hosts/') ? `/v1/hosts/${path.split('/').at(-1) ?? ''}` : path
     this.calls.set(kind, (this.calls.get(kind) ?? 0) + 1)
   }
@@ -123,30 +123,30 @@
   #createHandlers (): Record<string, Handler> {
     const { store } = this
     return {
-      '/v3/kv/range': (body) => this.#range(body as unknown as Keyed),
+      '/v3/kv/range': (body) => this.#range(body as unknown as KeyRange),
       '/v3/kv/txn': (body) => this.#txn(body as unknown as Txn),
-      '/v3/watch': (body) => this.#watch(body.create_request as Keyed & { start_revision: number, timeout_ms: number }),
-      '/v3/lease/grant': async (body) => ({ ID: valueOf(await store.grantLease(Number(body.TTL) * 1000)), TTL: body.TTL }),
-      '/v3/lease/keepalive': async (body) => ({ result: { ID: body.ID, TTL: valueOf(await store.renewLease(String(body.ID))) ? 1 : 0 } }),
+      '/v3/watch': (body) => this.#watch(body.create_request as KeyRange & { start_revision: number, timeout_ms: number }),
+      '/v3/lease/grant': async (body) => ({ ID: unwrap(await store.grantLease(Number(body.TTL) * 1000)), TTL: body.TTL }),
+      '/v3/lease/keepalive': async (body) => ({ result: { ID: body.ID, TTL: unwrap(await store.renewLease(String(body.ID))) ? 1 : 0 } }),
       '/v3/lease/revoke': async (body) => {
         await store.revokeLease(String(body.ID))
         return {}
       },
-      '/v1/hosts': (body, path, query) => this.#hostCall(body, path, query)
+      '/v1/hosts': (body, path, query) => this.#handleHostCall(body, path, query)
     }
   }
 
-  async #range ({ key, range_end: end }: Keyed): Promise<unknown> {
+  async #range ({ key, range_end: end }: KeyRange): Promise<unknown> {
     if (end !== undefined) {
-      const { items, revision } = valueOf(await this.store.list(decode(key)))
+      const { items, revision } = unwrap(await this.store.list(decode(key)))
       return { header: { revision }, kvs: items.map(toWire) }
     }
-    const found = valueOf(await this.store.get(decode(key)))
-    return { header: { revision: found?.modRevision ?? 0 }, kvs: found === undefined ? [] : [toWire(found)] }
+    const item = unwrap(await this.store.get(decode(key)))
+    return { header: { revision: item?.modRevision ?? 0 }, kvs: item === undefined ? [] : [toWire(item)] }
   }
 
   async #txn ({ compare, success }: Txn): Promise<unknown> {
-    const outcome = valueOf(await this.store.transact({
+    const outcome = unwrap(await this.store.transact({
       conditions: compare.map(({ key, mod_revision: modRevision }) => ({ key: decode(key), modRevision })),
       puts: success.flatMap(({ request_put: put }) => put === undefined ? [] : [{ key: decode(put.key), value: decode(put.value), leaseId: put.lease }]),
       removals: success.flatMap(({ request_delete_range: removal }) => removal === undefined ? [] : [decode(removal.key)])
@@ -155,14 +155,14 @@
     return { header: { revision: 0 }, succeeded: false, responses: outcome.current.map((item) => ({ response_range: { kvs: [toWire(item)] } })) }
   }
 
-  async #watch (create: Keyed & { start_revision: number, timeout_ms: number }): Promise<unknown> {
-    const { events, revision } = valueOf(await this.store.watch(decode(create.key), create.start_revision - 1, create.timeout_ms))
+  async #watch (create: KeyRange & { start_revision: number, timeout_ms: number }): Promise<unknown> {
+    const { events, revision } = unwrap(await this.store.watch(decode(create.key), create.start_revision - 1, create.timeout_ms))
     return { result: { header: { revision }, events: events.map((event) => ({ type: event.value === undefined ? 'DELETE' : 'PUT', kv: toWire(event) })) } }
   }
 
-  async #hostCall (body: Body, path: string, query: URLSearchParams): Promise<unknown> {
+  async #handleHostCall (body: Body, path: string, query: URLSearchParams): Promise<unknown> {
     const [, , , name, order] = path.split('/')
-    if (name === undefined) return { hosts: valueOf(await this.#hosts.listHosts((query.get('availabilityZone') ?? '') as AvailabilityZone)) }
+    if (name === undefined) return { hosts: unwrap(await this.#hosts.listHosts((query.get('availabilityZone') ?? '') as AvailabilityZone)) }
     const fenced = { hostId: createHostId(decodeURIComponent(name)), fencingToken: Number(body.fencingToken) }
     const orders: Record<string, () => Promise<Result<unknown, PlatformError>>> = {
       drain: () => this.#hosts.drain(fenced),
@@ -170,6 +170,6 @@
       reboot: () => this.#hosts.reboot({ ...fenced, version: String(body.version) })
     }
     const act = orders[order ?? '']
-    return act === undefined ? undefined : { outcome: valueOf(await act()) }
+    return act === undefined ? undefined : { outcome: unwrap(await act()) }
   }
 }
--- a/packages/standins/src/lib/StandInRuns.ts
+++ b/packages/standins/src/lib/StandInRuns.ts
@@ -48,13 +48,13 @@
 interface ActiveRun { readonly record: RunRecord, readonly capacity: WorkerCapacity, readonly endsAtMs: number, readonly percentOf: (nowMs: number) => number }
 
 /** An answer that never comes, as a client sees it after its time limit. */
-const LOST: RunOrderError = { kind: 'unknown-effect', detail: 'no answer' }
-const LOST_AFTER_MS = 30
+const LOST_ANSWER: RunOrderError = { kind: 'unknown-effect', detail: 'no answer' }
+const LOST_ANSWER_DELAY_MS = 30
 const MAX_ENDS_LISTED = 500
 const MAX_WAIT_MS = 2000
 /** Lasting tasks are at work this long after their start. */
-const AT_WORK_AFTER_MS = 20
-const DEFAULT_SIZE: WorkerCapacity = { cpuMillis: 1000, memoryMb: 100, gpus: 0 }
+const READY_AFTER_MS = 20
+const DEFAULT_TASK_SIZE: WorkerCapacity = { cpuMillis: 1000, memoryMb: 100, gpus: 0 }
 
 /** One lifetime of a worker. @public */
 export class StandInWorker {
@@ -66,17 +66,17 @@
   /** How long a hold takes to be answered, besides what it waits for. */
   holdDelayMs = 0
   /** How long a run that is stopped goes on. */
-  stopTakesMs = 0
+  stopDelayMs = 0
   /** Stops that were taken in. */
-  stopsTaken = 0
+  acceptedStopCount = 0
   /** What it has now; it says so where it registers itself, some time later. */
   capacity: WorkerCapacity
   /** Whether it refuses what does not fit, rather than starting it. */
-  guardsCapacity = true
+  refusesOverload = true
   /** How far its steady clock is ahead of the others'. */
   clockShiftMs = 0
   /** When it was told to start what did not fit. */
-  readonly overloadedMs: number[] = []
+  readonly overloadTimesMs: number[] = []
   /** Called each time that happens. */
   onOverload: (atMs: number) => void = () => {}
   #fencingToken = 0
@@ -84,9 +84,9 @@
   #ends: Array<EndReport & { readonly record: RunRecord }> = []
   /** Ends that were listed when the lease lapsed: acknowledging them later tells nothing. */
   readonly #lapsedEnds = new Set<EndReport>()
-  #closed = new Map<string, number>()
+  #lastClosedRuns = new Map<string, number>()
   #leaseEndsAtMs = 0
-  #isOver = false
+  #hasEnded = false
   #waiters = new Set<() => void>()
 
   /** @param instance - as it registers itself @param clock - its own steady clock @param sizeOf - what a task takes */
@@ -96,32 +96,32 @@
 
   /** Everything that runs there dies, and nothing answers any more. */
   crash (): void {
-    if (this.#isOver) return
-    this.#isOver = true
+    if (this.#hasEnded) return
+    this.#hasEnded = true
     for (const run of this.active.values()) run.record.endedMs = this.clock.monotonicMs()
     this.active.clear()
     for (const wake of this.#waiters) wake()
   }
 
   /** Whether it has ended. */
-  get isOver (): boolean {
-    return this.#isOver
+  get hasEnded (): boolean {
+    return this.#hasEnded
   }
 
   /** @param expectedInstanceId - whom the caller means @param act - what is asked @returns its result, or what became of the call */
   async call<T> (expectedInstanceId: string, act: () => Result<T, RunOrderError> | Promise<Result<T, RunOrderError>>): Promise<Result<T, RunOrderError>> {
-    if (this.#isOver) return Err({ kind: 'unhealthy', detail: 'connection refused' })
+    if (this.#hasEnded) return Err({ kind: 'unhealthy', detail: 'connection refused' })
     if (workerIdOf(expectedInstanceId) !== workerIdOf(this.instance.instanceId)) return Err({ kind: 'other-instance', detail: 'another lifetime' })
     if (this.faults.isSilent) {
-      await delay(LOST_AFTER_MS)
-      return Err(LOST)
+      await delay(LOST_ANSWER_DELAY_MS)
+      return Err(LOST_ANSWER)
     }
     this.step()
     const result = await act()
-    if (this.#isOver) return Err({ kind: 'unknown-effect', detail: 'connection reset' })
+    if (this.#hasEnded) return Err({ kind: 'unknown-effect', detail: 'connection reset' })
     if (!this.faults.losesAnswers) return result
-    await delay(LOST_AFTER_MS)
-    return Err(LOST)
+    await delay(LOST_ANSWER_DELAY_MS)
+    return Err(LOST_ANSWER)
   }
 
   /** Ends what is over by now. */
@@ -136,20 +136,20 @@
 
   /** @param order - a start @returns the clock */
   start (order: RunStart): Result<number, RunOrderError> {
-    if (!this.#obeys(order.fencingToken)) return Err({ kind: 'fenced-off', detail: 'a newer token was seen' })
-    if (this.active.has(nameOf(order))) return Ok(this.#clockMs())
+    if (!this.#acceptsToken(order.fencingToken)) return Err({ kind: 'fenced-off', detail: 'a newer token was seen' })
+    if (this.active.has(runKeyOf(order))) return Ok(this.#clockMs())
     const leaseEndsAtMs = order.leaseEndsAtMs - this.clockShiftMs
     this.#leaseEndsAtMs = Math.max(this.#leaseEndsAtMs, leaseEndsAtMs)
-    if (order.runNumber <= (this.#closed.get(order.taskKey) ?? 0)) return Err({ kind: 'run-closed', detail: 'old' })
+    if (order.runNumber <= (this.#lastClosedRuns.get(order.taskKey) ?? 0)) return Err({ kind: 'run-closed', detail: 'old' })
     const nowMs = this.clock.monotonicMs()
     if (leaseEndsAtMs <= nowMs) return Err({ kind: 'lease-past', detail: 'late' })
     const capacity = this.sizeOf(order.taskKey)
     const hasRoom = this.#hasRoom(capacity)
     if (!hasRoom) {
-      this.overloadedMs.push(nowMs)
+      this.overloadTimesMs.push(nowMs)
       this.onOverload(nowMs)
     }
-    if (!hasRoom && this.guardsCapacity) return Err({ kind: 'no-room', detail: 'full' })
+    if (!hasRoom && this.refusesOverload) return Err({ kind: 'no-room', detail: 'full' })
     const { runMs, crashesAfterMs, crashingIndex } = JSON.parse(order.command) as StandInCommand
     const record: RunRecord = {
       taskKey: order.taskKey,
@@ -163,30 +163,30 @@
     }
     this.records.push(record)
     const percentOf = (atMs: number): number => {
-      if (runMs === 0) return atMs - nowMs > AT_WORK_AFTER_MS ? 100 : 0
+      if (runMs === 0) return atMs - nowMs > READY_AFTER_MS ? 100 : 0
       return Math.min(99, Math.floor((atMs - nowMs) / runMs * 100))
     }
-    this.active.set(nameOf(order), { record, capacity, endsAtMs: runMs === 0 ? Infinity : nowMs + runMs, percentOf })
-    if (runMs > 0) setTimeout(() => this.#wake(), runMs + 1).unref()
+    this.active.set(runKeyOf(order), { record, capacity, endsAtMs: runMs === 0 ? Infinity : nowMs + runMs, percentOf })
+    if (runMs > 0) setTimeout(() => this.#wakeWaiters(), runMs + 1).unref()
     const isCrashing = crashingIndex === undefined || order.taskKey.endsWith(`.${crashingIndex}`)
-    if (crashesAfterMs !== undefined && isCrashing) setTimeout(() => this.#crashUnder(order), crashesAfterMs).unref()
+    if (crashesAfterMs !== undefined && isCrashing) setTimeout(() => this.#crashIfRunning(order), crashesAfterMs).unref()
     return Ok(this.#clockMs())
   }
 
   /** @param run - to be stopped @param fencingToken - of the caller @returns the clock */
   stop (run: RunRef, fencingToken: number): Result<number, RunOrderError> {
-    if (!this.#obeys(fencingToken)) return Err({ kind: 'fenced-off', detail: 'a newer token was seen' })
-    this.stopsTaken++
-    const active = this.active.get(nameOf(run))
-    if (active !== undefined && this.stopTakesMs === 0) this.#end(active, 'stopped')
-    else if (active !== undefined) setTimeout(() => { if (this.active.has(nameOf(run))) this.#end(active, 'stopped') }, this.stopTakesMs).unref()
-    this.#closed.set(run.taskKey, Math.max(run.runNumber, this.#closed.get(run.taskKey) ?? 0))
+    if (!this.#acceptsToken(fencingToken)) return Err({ kind: 'fenced-off', detail: 'a newer token was seen' })
+    this.acceptedStopCount++
+    const active = this.active.get(runKeyOf(run))
+    if (active !== undefined && this.stopDelayMs === 0) this.#end(active, 'stopped')
+    else if (active !== undefined) setTimeout(() => { if (this.active.has(runKeyOf(run))) this.#end(active, 'stopped') }, this.stopDelayMs).unref()
+    this.#lastClosedRuns.set(run.taskKey, Math.max(run.runNumber, this.#lastClosedRuns.get(run.taskKey) ?? 0))
     return Ok(this.#clockMs())
   }
 
   /** @param request - a hold @returns both lists */
   async hold (request: HoldRequest): Promise<Result<HoldReport, RunOrderError>> {
-    if (!this.#obeys(request.fencingToken)) return Err({ kind: 'fenced-off', detail: 'a newer token was seen' })
+    if (!this.#acceptsToken(request.fencingToken)) return Err({ kind: 'fenced-off', detail: 'a newer token was seen' })
     if (this.holdDelayMs > 0) await delay(this.holdDelayMs)
     if (request.leaseEndsAtMs !== undefined) this.#leaseEndsAtMs = Math.max(this.#leaseEndsAtMs, request.leaseEndsAtMs - this.clockShiftMs)
     for (const end of this.#ends) if (end.sequence <= request.acknowledgedSequence && !this.#lapsedEnds.has(end)) end.record.isAcknowledged = true
@@ -209,13 +209,13 @@
     return this.clock.monotonicMs() + this.clockShiftMs
   }
 
-  #crashUnder (run: RunRef): void {
-    if (!this.active.has(nameOf(run))) return
+  #crashIfRunning (run: RunRef): void {
+    if (!this.active.has(runKeyOf(run))) return
     this.crash()
     this.onCrash(this)
   }
 
-  #obeys (fencingToken: number): boolean {
+  #acceptsToken (fencingToken: number): boolean {
     if (fencingToken < this.#fencingToken) return false
     this.#fencingToken = fencingToken
     return true
@@ -229,15 +229,15 @@
   /** A lease ends when it ends, however late that is noticed here. */
   #end (run: ActiveRun, end: RunEnd, endedMs = this.clock.monotonicMs()): void {
     const { record } = run
-    this.active.delete(nameOf(record))
+    this.active.delete(runKeyOf(record))
     record.end = end
     record.endedMs = endedMs
-    this.#closed.set(record.taskKey, Math.max(record.runNumber, this.#closed.get(record.taskKey) ?? 0))
+    this.#lastClosedRuns.set(record.taskKey, Math.max(record.runNumber, this.#lastClosedRuns.get(record.taskKey) ?? 0))
     this.#ends.push({ taskKey: record.taskKey, runNumber: record.runNumber, sequence: ++this.#sequence, end, checkpoint: '', record })
-    this.#wake()
+    this.#wakeWaiters()
   }
 
-  #wake (): void {
+  #wakeWaiters (): void {
     this.step()
     if (this.#ends.length > 0) for (const wake of this.#waiters) wake()
   }
@@ -255,7 +255,7 @@
   }
 }
 
-const nameOf = (run: RunRef): string => `${run.taskKey}#${run.runNumber}`
+const runKeyOf = (run: RunRef): string => `${run.taskKey}#${run.runNumber}`
 const isFailing = (record: RunRecord): boolean => (JSON.parse(record.command) as StandInCommand).fails === true
 
 /** Orders to stand-in workers. @public */
@@ -264,12 +264,12 @@
   /** Called when a run has ended its worker's lifetime. */
   onCrash: (worker: StandInWorker) => void = () => {}
   /** Workers by address: a new lifetime takes the place of the former. */
-  readonly #atAddress = new Map<string, StandInWorker>()
+  readonly #workersByAddress = new Map<string, StandInWorker>()
   readonly #clock: Clock
   readonly #sizeOf: (taskKey: string) => WorkerCapacity
 
   /** @param clock - that all workers share @param sizeOf - what a task takes */
-  constructor (clock: Clock, sizeOf: (taskKey: string) => WorkerCapacity = () => DEFAULT_SIZE) {
+  constructor (clock: Clock, sizeOf: (taskKey: string) => WorkerCapacity = () => DEFAULT_TASK_SIZE) {
     this.#clock = clock
     this.#sizeOf = sizeOf
   }
@@ -279,7 +279,7 @@
     const worker = new StandInWorker(instance, this.#clock, this.#sizeOf)
     worker.onCrash = (crashed) => this.onCrash(crashed)
     this.workers.set(instance.instanceId, worker)
-    this.#atAddress.set(`${instance.address}:${instance.port}`, worker)
+    this.#workersByAddress.set(`${instance.address}:${instance.port}`, worker)
     return worker
   }
 
@@ -289,27 +289,27 @@
   }
 
   async start (worker: WorkerInstance, order: RunStart): Promise<Result<number, RunOrderError>> {
-    const at = this.#find(worker)
+    const at = this.#workerAt(worker)
     const lateMs = at.faults.startsLateMs
     if (lateMs === 0) return await at.call(worker.instanceId, () => at.start(order))
     // Whoever is at that address by then carries it out.
-    setTimeout(() => { void this.#find(worker).call(worker.instanceId, () => this.#find(worker).start(order)) }, lateMs).unref()
-    await delay(LOST_AFTER_MS)
-    return Err(LOST)
+    setTimeout(() => { void this.#workerAt(worker).call(worker.instanceId, () => this.#workerAt(worker).start(order)) }, lateMs).unref()
+    await delay(LOST_ANSWER_DELAY_MS)
+    return Err(LOST_ANSWER)
   }
 
   async stop (worker: WorkerInstance, run: RunRef, fencingToken: number): Promise<Result<number, RunOrderError>> {
-    const at = this.#find(worker)
+    const at = this.#workerAt(worker)
     return await at.call(worker.instanceId, () => at.stop(run, fencingToken))
   }
 
   async hold (worker: WorkerInstance, request: HoldRequest): Promise<Result<HoldReport, RunOrderError>> {
-    const at = this.#find(worker)
+    const at = this.#workerAt(worker)
     return await at.call(worker.instanceId, () => at.hold(request))
   }
 
   async pace (worker: WorkerInstance): Promise<Result<number, RunOrderError>> {
-    const at = this.#find(worker)
+    const at = this.#workerAt(worker)
     return await at.call(worker.instanceId, () => Ok(this.#clock.monotonicMs()))
   }
 
@@ -317,7 +317,7 @@
     // Nothing is kept open.
   }
 
-  #find (worker: WorkerInstance): StandInWorker {
-    return this.#atAddress.get(`${worker.address}:${worker.port}`) as StandInWorker
+  #workerAt (worker: WorkerInstance): StandInWorker {
+    return this.#workersByAddress.get(`${worker.address}:${worker.port}`) as StandInWorker
   }
 }
--- a/packages/standins/src/lib/StandInTarget.ts
+++ b/packages/standins/src/lib/StandInTarget.ts
@@ -43,7 +43,7 @@
   readonly onRun: (callId: string, hostId: string) => void
 }
 
-const FILLER = 'x'.repeat(400)
+const FILLER_TEXT = 'x'.repeat(400)
 
 /** One target. @public */
 export class StandInTarget {
@@ -138,9 +138,9 @@
     this.runs++
     this.lastRunMs = Date.now()
     onRun(callId, hostId)
-    const statedMs = Number(request.headers['x-work-ms'])
-    await delay((statedMs > 0 ? statedMs : random.exponentialMs(workMs)) * faults.slowFactor)
-    const body = JSON.stringify({ hostId, callId, method: request.method, path: request.url, received: received.length, filler: FILLER })
+    const requestedWorkMs = Number(request.headers['x-work-ms'])
+    await delay((requestedWorkMs > 0 ? requestedWorkMs : random.exponentialMs(workMs)) * faults.slowFactor)
+    const body = JSON.stringify({ hostId, callId, method: request.method, path: request.url, received: received.length, filler: FILLER_TEXT })
     await this.#send(response, requestId, body)
     this.#previous = { requestId, body }
   }
--- a/packages/standins/src/lib/StandIns.ts
+++ b/packages/standins/src/lib/StandIns.ts
@@ -45,9 +45,9 @@
   readonly platform: StandInPlatform
   readonly hosts: MemoryHosts
   readonly targets = new Map<HostId, StandInTarget>()
-  readonly #runs = new Map<string, string[]>()
+  readonly #hostsByCall = new Map<string, string[]>()
   readonly #options: StandInsOptions
-  readonly #control: Server
+  readonly #controlServer: Server
 
   /** @param options - what is started */
   constructor (options: StandInsOptions) {
@@ -63,7 +63,7 @@
         slots: options.deployment.slotsPerTarget,
         workMs,
         random,
-        onRun: (callId, hostId) => this.#noteRun(callId, hostId)
+        onRun: (callId, hostId) => this.#recordRun(callId, hostId)
       }))
     }
     const entryHosts = (options.entryHosts ?? []).map(({ entryHostId, availabilityZone }): ListedHost => ({
@@ -81,7 +81,7 @@
       }
     })
     this.platform = new StandInPlatform(this.hosts, random)
-    this.#control = createServer((request, response) => { void this.#answerControl(request, response) })
+    this.#controlServer = createServer((request, response) => { void this.#answerControl(request, response) })
   }
 
   /** Starts everything. */
@@ -89,13 +89,13 @@
     const { firstPort, deployment } = this.#options
     await Promise.all([...this.targets.values()].map((target) => target.up()))
     for (const [index, zone] of deployment.availabilityZones.entries()) await this.platform.listen(zone, firstPort + 1 + index)
-    await new Promise<void>((resolve) => this.#control.listen(firstPort, '127.0.0.1', resolve))
+    await new Promise<void>((resolve) => this.#controlServer.listen(firstPort, '127.0.0.1', resolve))
   }
 
   /** Stops everything. */
   close (): void {
-    this.#control.close()
-    this.#control.closeAllConnections()
+    this.#controlServer.close()
+    this.#controlServer.closeAllConnections()
     this.platform.close()
     for (const target of this.targets.values()) target.down()
   }
@@ -105,7 +105,7 @@
     const targets = [...this.targets]
     return {
       platformCalls: Object.fromEntries(this.platform.calls),
-      ranTwice: Object.fromEntries([...this.#runs].filter(([, hosts]) => hosts.length > 1)),
+      ranTwice: Object.fromEntries([...this.#hostsByCall].filter(([, hosts]) => hosts.length > 1)),
       runs: targets.reduce((sum, [, target]) => sum + target.runs, 0),
       refusals: targets.reduce((sum, [, target]) => sum + target.refusals, 0),
       runsByHost: Object.fromEntries(targets.map(([hostId, target]) => [hostId, target.runs])),
@@ -115,7 +115,7 @@
 
   /** @param callId - a caller's id @returns the hosts that ran it */
   runsOf (callId: string): readonly string[] {
-    return this.#runs.get(callId) ?? []
+    return this.#hostsByCall.get(callId) ?? []
   }
 
   /**
@@ -126,11 +126,11 @@
    * @returns the answer
    */
   control (order: string, body: Record<string, unknown>): unknown {
-    const handler = this.#orders[order]
-    return handler === undefined ? { error: `no order ${order}; there are ${Object.keys(this.#orders).join(', ')}` } : handler(body)
+    const handler = this.#controlHandlers[order]
+    return handler === undefined ? { error: `no order ${order}; there are ${Object.keys(this.#controlHandlers).join(', ')}` } : handler(body)
   }
 
-  readonly #orders: Record<string, (body: Record<string, unknown>) => unknown> = {
+  readonly #controlHandlers: Record<string, (body: Record<string, unknown>) => unknown> = {
     counts: () => this.counts(),
     runs: ({ callId }) => ({ hosts: this.runsOf(String(callId)) }),
     platform: (body) => {
@@ -175,10 +175,10 @@
     }
   }
 
-  #noteRun (callId: string, hostId: string): void {
+  #recordRun (callId: string, hostId: string): void {
     if (callId === '') return
-    const hosts = this.#runs.get(callId)
-    if (hosts === undefined) this.#runs.set(callId, [hostId])
+    const hosts = this.#hostsByCall.get(callId)
+    if (hosts === undefined) this.#hostsByCall.set(callId, [hostId])
     else hosts.push(hostId)
   }
 
