--- a/packages/soak/src/lib/EntryProcess.ts
+++ b/packages/soak/src/lib/EntryProcess.ts
@@ -22,7 +22,7 @@
 
 /** The host. @public */
 export class EntryProcess {
-  readonly settings: HostSettings
+  readonly hostSettings: HostSettings
   readonly ends: ProcessEnd[] = []
   /** Since when it is being stopped as planned, on the steady clock. */
   stoppingSinceMs: number | undefined
@@ -38,17 +38,17 @@
   /** It has said something: before that it knows no signals. */
   #hasOutput = false
 
-  /** @param settings - where it serves @param directory - for its settings and log @param nowMs - steady clock @param clockOffsetMs - of its time of day */
-  constructor (settings: HostSettings, directory: string, nowMs: () => number, clockOffsetMs: number) {
-    this.settings = settings
+  /** @param hostSettings - where it serves @param directory - for its settings and log @param nowMs - steady clock @param clockOffsetMs - of its time of day */
+  constructor (hostSettings: HostSettings, directory: string, nowMs: () => number, clockOffsetMs: number) {
+    this.hostSettings = hostSettings
     this.#directory = directory
     this.#nowMs = nowMs
     this.#clockOffsetMs = clockOffsetMs
-    writeFileSync(this.#settingsFile, encodeSettings(settings))
+    writeFileSync(this.#settingsFile, encodeSettings(hostSettings))
   }
 
   get #settingsFile (): string {
-    return join(this.#directory, `${this.settings.hostName}.json`)
+    return join(this.#directory, `${this.hostSettings.hostName}.json`)
   }
 
   /** Starts the program. */
@@ -56,7 +56,7 @@
     this.#sentSignal = ''
     this.stoppingSinceMs = undefined
     this.isFrozen = false
-    const log = createWriteStream(join(this.#directory, `${this.settings.hostName}.log`), { flags: 'a' })
+    const log = createWriteStream(join(this.#directory, `${this.hostSettings.hostName}.log`), { flags: 'a' })
     const child = spawn(process.execPath, ['--import', SKEWED_CLOCK_URL, PROGRAM_PATH, 'serve', '--settings', this.#settingsFile], {
       stdio: ['ignore', 'pipe', 'pipe'], env: { ...process.env, SOAK_CLOCK_OFFSET_MS: String(this.#clockOffsetMs) }
     })
@@ -74,7 +74,7 @@
   #handleExit (exitCode: number | null): void {
     this.#child = undefined
     if (this.#sentSignal !== 'SIGTERM') this.lastDisturbedMs = this.#nowMs()
-    this.ends.push({ hostName: this.settings.hostName, signal: this.#sentSignal, exitCode, atMs: this.#nowMs() })
+    this.ends.push({ hostName: this.hostSettings.hostName, signal: this.#sentSignal, exitCode, atMs: this.#nowMs() })
     if (this.#shouldRestart) setTimeout(() => { if (this.#shouldRestart) this.start() }, RESTART_MS)
   }
 
--- a/packages/soak/src/lib/FaultProxy.ts
+++ b/packages/soak/src/lib/FaultProxy.ts
@@ -58,13 +58,13 @@
       return
     }
     const outbound = connect(this.#targetPort, LOCAL)
-    const connection: ProxiedConnection = { inbound, outbound }
-    this.#connections.add(connection)
-    this.#forward(inbound, outbound, 'silent-to', connection)
-    this.#forward(outbound, inbound, 'silent-from', connection)
+    const sockets: ProxiedConnection = { inbound, outbound }
+    this.#connections.add(sockets)
+    this.#forward(inbound, outbound, 'silent-to', sockets)
+    this.#forward(outbound, inbound, 'silent-from', sockets)
   }
 
-  #forward (source: Socket, sink: Socket, oneWay: LinkFault, connection: ProxiedConnection): void {
+  #forward (source: Socket, sink: Socket, oneWay: LinkFault, sockets: ProxiedConnection): void {
     source.on('data', (chunk) => {
       if (this.#fault === 'silent' || this.#fault === oneWay) return
       if (this.#fault === 'delay') setTimeout(() => { if (!sink.destroyed) sink.write(chunk) }, LINK_DELAY_MS)
@@ -74,7 +74,7 @@
     source.on('error', () => sink.destroy())
     source.on('close', () => {
       sink.destroy()
-      this.#connections.delete(connection)
+      this.#connections.delete(sockets)
     })
   }
 }
--- a/packages/soak/src/lib/SoakCallers.ts
+++ b/packages/soak/src/lib/SoakCallers.ts
@@ -15,7 +15,7 @@
 /** The size and mix of the load: enough that every fault meets jobs in each state, little enough for one machine. */
 const CALL_TIMEOUT_MS = 3000
 const MAX_ATTEMPTS = 5
-const MEAN_JOB_GAP_MS = 150
+const JOB_GAP_MS = 150
 const CANCEL_SHARE = 0.12
 const STATUS_CHECK_SHARE = 0.5
 const MIN_TASK_MS = 20
@@ -60,11 +60,9 @@
 
   /** Hands in the lasting jobs, then others, until stopped. */
   async run (): Promise<void> {
-    for (const service of SERVICES) this.#startJob(service, [{ taskCount: LASTING_TASK_COUNT, dependsOn: [], isLasting: true, maxAway: 1 }], 0)
+    for (const service of SERVICES) this.#addJob(service, [{ taskCount: LASTING_TASK_COUNT, dependsOn: [], isLasting: true, maxAway: 1 }], 0)
     this.#pending.push(this.#probeConfiguration(), this.#probeKeys())
-    while (await delay(this.#random.exponentialMs(MEAN_JOB_GAP_MS), this.#stop.signal)) {
-      this.#startJob(this.#random.pick(SERVICES), this.#drawSteps(), this.#drawTaskMs())
-    }
+    while (await delay(this.#random.exponentialMs(JOB_GAP_MS), this.#stop.signal)) this.#addJob(this.#random.pick(SERVICES), this.#drawSteps(), this.#drawMs())
   }
 
   /** No new jobs; waits for what is under way. */
@@ -75,10 +73,10 @@
 
   /** Asks for every accepted job until its state is final. @param timeoutMs - for all together */
   async awaitFinalStates (timeoutMs: number): Promise<void> {
-    const deadlineMs = this.#nowMs() + timeoutMs
+    const untilMs = this.#nowMs() + timeoutMs
     await Promise.all(this.jobs.filter(({ submitted }) => submitted === 'accepted').map(async (job) => {
       const expectedStates = job.steps[0]?.isLasting === true ? new Set(['running']) : FINAL_STATES
-      while (this.#nowMs() < deadlineMs && !expectedStates.has(job.finalState)) {
+      while (this.#nowMs() < untilMs && !expectedStates.has(job.finalState)) {
         const { outcome } = await this.#callAnyHost('GET', job)
         if (outcome.kind === 'answer' && outcome.status === 200) job.finalState = decodeJobState(outcome.body)
         if (outcome.kind === 'answer' && outcome.status === 410) job.finalState = 'unknown'
@@ -97,11 +95,11 @@
     return this.#random.next() < ONE_STEP_SHARE ? [first] : [first, { ...first, taskCount: 1 + this.#random.integer(MAX_TASKS_PER_STEP), dependsOn: [0] }]
   }
 
-  #drawTaskMs (): number {
+  #drawMs (): number {
     return MIN_TASK_MS + this.#random.integer(TASK_MS_SPREAD)
   }
 
-  #startJob (service: string, steps: readonly CallerStep[], runMs: number): void {
+  #addJob (service: string, steps: readonly CallerStep[], runMs: number): void {
     const jobId = (this.#nextJobNumber++).toString(16).padStart(16, '0')
     const crashesWorkers = runMs > 0 && this.#environment.remainingCrashingJobs > 0
     if (crashesWorkers) this.#environment.remainingCrashingJobs--
@@ -133,7 +131,7 @@
   /** Refused each time is refused; one answer that never came, or was uncertain, makes it unknown until it is accepted. */
   async #submit (job: JobView, body: unknown): Promise<SubmitOutcome> {
     let isUncertain = false
-    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+    for (let tries = 0; tries < MAX_ATTEMPTS; tries++) {
       const { outcome } = await this.#callAnyHost('POST', job, body)
       if (outcome.kind === 'answer' && outcome.status === 200) return 'accepted'
       const isRefused = outcome.kind === 'not-connected' || (outcome.kind === 'answer' && [401, 404, 429, 503].includes(outcome.status))
@@ -147,7 +145,7 @@
   async #cancel (job: JobView): Promise<void> {
     await delay(this.#random.next() * MS_PER_S)
     job.isCancelSent = true
-    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+    for (let tries = 0; tries < MAX_ATTEMPTS; tries++) {
       const { outcome } = await this.#callAnyHost('DELETE', job)
       if (outcome.kind === 'answer' && outcome.status === 200) {
         job.cancelAcknowledgedMs = this.#nowMs()
@@ -169,11 +167,11 @@
     const sentMs = this.#nowMs()
     const wasUndisturbed = this.#environment.isUndisturbed(host, UNDISTURBED_MS)
     const outcome = await callEntryHost({
-      address: host.settings.ownAddress, agent: this.#agent, method, host: QUEUE_HOST, path, key, body, waitMs: CALL_TIMEOUT_MS
+      address: host.hostSettings.ownAddress, agent: this.#agent, method, host: QUEUE_HOST, path, key, body, waitMs: CALL_TIMEOUT_MS
     })
     const isPlanned = host.stoppingSinceMs !== undefined || host.ends.some(({ signal, atMs }) => signal === 'SIGTERM' && atMs > sentMs)
     const isUndisturbed = wasUndisturbed && this.#environment.isUndisturbed(host, UNDISTURBED_MS)
-    if (outcome.kind === 'broken' && isPlanned && isUndisturbed) this.broken.push({ hostName: host.settings.hostName, sentMs, brokenMs: this.#nowMs() })
+    if (outcome.kind === 'broken' && isPlanned && isUndisturbed) this.broken.push({ hostName: host.hostSettings.hostName, sentMs, brokenMs: this.#nowMs() })
     return { host, outcome }
   }
 
@@ -189,7 +187,7 @@
         atMs <= doneMs && (all[index + 1]?.atMs ?? Infinity) > sentMs - APPLY_MS)
       const mayExist = possiblyInForce.some(({ exists }) => exists)
       const mayBeMissing = possiblyInForce.some(({ exists }) => !exists)
-      this.probes.push({ hostName: host.settings.hostName, sentMs, status: outcome.status, mayExist, mayBeMissing })
+      this.probes.push({ hostName: host.hostSettings.hostName, sentMs, status: outcome.status, mayExist, mayBeMissing })
     }
   }
 
@@ -204,7 +202,7 @@
       const wasUndisturbed = this.#environment.isUndisturbed(host, UNDISTURBED_MS)
       const { outcome } = await this.#callHost(host, 'GET', `/${SERVICES[0]}/`, key)
       if (!wasUndisturbed || !this.#environment.isUndisturbed(host, UNDISTURBED_MS) || outcome.kind !== 'answer') continue
-      this.keyProbes.push({ hostName: host.settings.hostName, sentMs, status: outcome.status, ...accounts.expectedAcceptance(key, sentMs, this.#nowMs()) })
+      this.keyProbes.push({ hostName: host.hostSettings.hostName, sentMs, status: outcome.status, ...accounts.expectedAcceptance(key, sentMs, this.#nowMs()) })
     }
   }
 }
--- a/packages/soak/src/lib/SoakEnvironment.ts
+++ b/packages/soak/src/lib/SoakEnvironment.ts
@@ -84,14 +84,14 @@
     for (let index = 0; index < count; index++) {
       const link = new FaultProxy(storePort)
       this.storeLinks.push(link)
-      const settings = {
+      const hostSettings = {
         hostName: `host-${index}`,
         ownAddress: ownAddress(index),
         storePort: await link.listen(),
         machinesPort,
         hasAccounts: true
       }
-      this.hosts.push(new EntryProcess(settings, directory, () => this.clock.monotonicMs(), Math.round((random.next() * 2 - 1) * MAX_CLOCK_OFFSET_MS)))
+      this.hosts.push(new EntryProcess(hostSettings, directory, () => this.clock.monotonicMs(), Math.round((random.next() * 2 - 1) * MAX_CLOCK_OFFSET_MS)))
     }
     for (const host of this.hosts) host.start()
   }
--- a/packages/soak/src/lib/faults.ts
+++ b/packages/soak/src/lib/faults.ts
@@ -22,7 +22,7 @@
 const KEY_SWITCH_MS = 500
 /** A worker that starts again is back before its registration ends. */
 const MAX_RESTART_MS = 500
-const RESTARTED_SHARE = 0.3
+const RESTART_SHARE = 0.3
 /** A worker that shrinks keeps less than this of its size. */
 const MAX_SHRUNK_SHARE = 0.7
 
@@ -156,9 +156,7 @@
     return undefined
   },
   'many workers start again': (environment, random) => {
-    for (const machineId of environment.fleet.machineIds) {
-      if (random.next() < RESTARTED_SHARE) environment.fleet.crash(machineId, random.integer(MAX_RESTART_MS))
-    }
+    for (const machineId of environment.fleet.machineIds) if (random.next() < RESTART_SHARE) environment.fleet.crash(machineId, random.integer(MAX_RESTART_MS))
     return undefined
   }
 }
--- a/packages/standins/src/lib/StandInNetwork.ts
+++ b/packages/standins/src/lib/StandInNetwork.ts
@@ -62,19 +62,19 @@
   #relay (inbound: Socket, node: NetworkNode): void {
     const from = this.#zoneOf.get(inbound.remoteAddress ?? '') ?? 'outside'
     const outbound = connect({ host: node.address, port: node.port })
-    const connection: RelayedConnection = { zones: [from, node.availabilityZone], sockets: [inbound, outbound] }
-    this.#connections.add(connection)
-    this.#forward(inbound, outbound, connection)
-    this.#forward(outbound, inbound, connection)
-    if (this.#isCut(connection.zones)) for (const socket of connection.sockets) socket.pause()
+    const link: RelayedConnection = { zones: [from, node.availabilityZone], sockets: [inbound, outbound] }
+    this.#connections.add(link)
+    this.#forward(inbound, outbound, link)
+    this.#forward(outbound, inbound, link)
+    if (this.#isCut(link.zones)) for (const socket of link.sockets) socket.pause()
   }
 
-  #forward (source: Socket, sink: Socket, connection: RelayedConnection): void {
+  #forward (source: Socket, sink: Socket, link: RelayedConnection): void {
     source.on('data', (chunk) => { sink.write(chunk) })
     source.on('error', () => {})
     source.on('close', () => {
       sink.destroy()
-      this.#connections.delete(connection)
+      this.#connections.delete(link)
     })
   }
 }
