--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * A seeded fault soak of the program of the users' platform.
+ * Seeded fault soak of the program that runs on the users' platform.
  *
  * @module
  */
--- a/packages/soak/src/lib/EntryProcess.ts
+++ b/packages/soak/src/lib/EntryProcess.ts
@@ -1,5 +1,5 @@
 /**
- * One entry host of the soak: the real program as a process of its own, started again whenever it ends.
+ * An entry host of the soak: runs the real program as a child process and restarts it whenever it exits.
  *
  * @module
  */
@@ -12,21 +12,21 @@
 
 const PROGRAM_PATH = fileURLToPath(new URL('../../../../platform/dist/main.js', import.meta.url))
 const SKEWED_CLOCK_URL = new URL('../skewedClock.js', import.meta.url).href
-/** The program starts again after this, as a supervisor would do it. */
+/** Delay before an exited process is restarted, as a supervisor would restart it. */
 const RESTART_MS = 200
-/** As long as the settings say that a stop may take; then it is killed. */
+/** Time that a planned stop may take, equal to `GraceS` of the settings; after it the process is killed. */
 const STOP_TIMEOUT_MS = 5000
 
-/** A process is told of a suspension this much ahead, so that its clock knows of it. */
+/** Lead time between the announcement of a suspension and the pause, so that the clock replacement in the process can handle the signal. */
 const SUSPEND_NOTICE_MS = 30
 
-/** The host. @public */
+/** Runs, stops, pauses and restarts the process of one entry host, and records each exit. @public */
 export class EntryProcess {
   readonly hostSettings: HostSettings
   readonly ends: ProcessEnd[] = []
-  /** Since when it is being stopped as planned, on the steady clock. */
+  /** Start of the planned stop in progress, on the monotonic clock. */
   stoppingSinceMs: number | undefined
-  /** When it was last disturbed otherwise. */
+  /** Time of the last disturbance other than a planned stop. */
   lastDisturbedMs = -Infinity
   isFrozen = false
   readonly #directory: string
@@ -35,10 +35,15 @@
   #child: ChildProcess | undefined
   #sentSignal: ProcessEnd['signal'] = ''
   #shouldRestart = true
-  /** It has said something: before that it knows no signals. */
+  /** Whether the process has written any output; before that it has not yet installed its signal handlers. */
   #hasOutput = false
 
-  /** @param hostSettings - where it serves @param directory - for its settings and log @param nowMs - steady clock @param clockOffsetMs - of its time of day */
+  /**
+   * @param hostSettings - the host's name, address and ports
+   * @param directory - directory for its settings file and its log
+   * @param nowMs - reads the monotonic clock
+   * @param clockOffsetMs - offset of its wall clock
+   */
   constructor (hostSettings: HostSettings, directory: string, nowMs: () => number, clockOffsetMs: number) {
     this.hostSettings = hostSettings
     this.#directory = directory
@@ -51,7 +56,7 @@
     return join(this.#directory, `${this.hostSettings.hostName}.json`)
   }
 
-  /** Starts the program. */
+  /** Starts the process. */
   start (): void {
     this.#sentSignal = ''
     this.stoppingSinceMs = undefined
@@ -78,7 +83,7 @@
     if (this.#shouldRestart) setTimeout(() => { if (this.#shouldRestart) this.start() }, RESTART_MS)
   }
 
-  /** Stops it as planned. */
+  /** Requests a planned stop, and kills the process if it does not exit in time. */
   terminate (): void {
     const child = this.#child
     if (child === undefined || !this.#hasOutput || this.#sentSignal !== '' || this.isFrozen) return
@@ -88,7 +93,7 @@
     setTimeout(() => { if (child === this.#child) this.kill() }, STOP_TIMEOUT_MS).unref()
   }
 
-  /** Ends it at once. */
+  /** Kills the process. */
   kill (): void {
     if (this.#child === undefined) return
     this.#sentSignal = 'SIGKILL'
@@ -96,7 +101,7 @@
     this.#child.kill('SIGKILL')
   }
 
-  /** It stands still. */
+  /** Pauses the process with SIGSTOP. */
   freeze (): void {
     if (this.#child === undefined) return
     this.isFrozen = true
@@ -104,7 +109,7 @@
     this.#child.kill('SIGSTOP')
   }
 
-  /** Its host is suspended: it stands still, and its steady clock will have left that out. */
+  /** Simulates a suspended host: pauses the process, and its monotonic clock does not count the pause. */
   suspend (): void {
     const child = this.#child
     if (child === undefined || !this.#hasOutput || this.isFrozen) return
@@ -113,7 +118,7 @@
     setTimeout(() => { if (child === this.#child) this.freeze() }, SUSPEND_NOTICE_MS).unref()
   }
 
-  /** It goes on. */
+  /** Resumes a paused process. */
   thaw (): void {
     if (!this.isFrozen) return
     this.isFrozen = false
@@ -121,12 +126,12 @@
     this.#child?.kill('SIGCONT')
   }
 
-  /** Its time of day jumps, or jumps back. */
+  /** Steps the wall clock of the process, or reverts the previous step. */
   stepClock (): void {
     if (this.#hasOutput) this.#child?.kill('SIGUSR2')
   }
 
-  /** Ends it for good. @returns once it is gone */
+  /** Kills the process without a restart. @returns a promise that resolves once it has exited */
   async close (): Promise<void> {
     this.#shouldRestart = false
     const child = this.#child
--- a/packages/soak/src/lib/FaultProxy.ts
+++ b/packages/soak/src/lib/FaultProxy.ts
@@ -1,38 +1,47 @@
 /**
- * A loopback proxy in front of one address, whose connections can be delayed, reset, silenced or cut one way.
+ * A loopback TCP proxy in front of one port. Its connections can be delayed, reset, or silenced in one or both directions.
  *
  * @module
  */
 import { connect, createServer, type Server, type Socket } from 'node:net'
 import { listen } from '@quillscale/utils'
 
-/** What happens to what is sent: `to` the target, `from` it, or both ways. @public */
+/**
+ * The fault that a link shows. Silent links drop all data: `silent-to` drops what is sent to the target, `silent-from` what the target sends,
+ * and `silent` both.
+ *
+ * @public
+ */
 export type LinkFault = 'none' | 'delay' | 'reset' | 'refuse' | 'silent' | 'silent-to' | 'silent-from'
 
 interface ProxiedConnection { readonly inbound: Socket, readonly outbound: Socket }
 
 const LOCAL = '127.0.0.1'
-/** A slow link: well below what a call waits for. */
+/** Delay of each chunk on a slow link, well below the timeout of a call. */
 const LINK_DELAY_MS = 150
 
-/** The proxy. @public */
+/** Forwards TCP connections to a target port and injects link faults. @public */
 export class FaultProxy {
   readonly #connections = new Set<ProxiedConnection>()
   readonly #server: Server = createServer((inbound) => this.#accept(inbound))
   readonly #targetPort: number
   #fault: LinkFault = 'none'
 
-  /** @param targetPort - on the loopback address */
+  /** @param targetPort - port of the target on the loopback address */
   constructor (targetPort: number) {
     this.#targetPort = targetPort
   }
 
-  /** @returns the port at which it stands in for the target */
+  /** Starts the proxy. @returns the port on which it accepts connections for the target */
   async listen (): Promise<number> {
     return await listen(this.#server, 0, LOCAL)
   }
 
-  /** @param fault - from now on; connections that were silent break when it ends, as after a cut */
+  /**
+   * Changes the fault of the link. Connections that were silent are reset, as those of a partitioned network are after it heals.
+   *
+   * @param fault - the fault that applies from now on
+   */
   set (fault: LinkFault): void {
     const wasSilent = this.#fault.startsWith('silent')
     this.#fault = fault
@@ -43,7 +52,7 @@
     }
   }
 
-  /** Ends everything. */
+  /** Stops listening and closes all connections. */
   close (): void {
     this.#server.close()
     for (const { inbound, outbound } of this.#connections) {
@@ -70,7 +79,7 @@
       if (this.#fault === 'delay') setTimeout(() => { if (!sink.destroyed) sink.write(chunk) }, LINK_DELAY_MS)
       else sink.write(chunk)
     })
-    // A broken connection ends its other half; there is nothing else to do about it.
+    // An error on one side closes the other side as well.
     source.on('error', () => sink.destroy())
     source.on('close', () => {
       sink.destroy()
--- a/packages/soak/src/lib/History.ts
+++ b/packages/soak/src/lib/History.ts
@@ -1,15 +1,19 @@
 /**
- * What callers, workers and machines saw in one run. All times are milliseconds on one steady clock.
+ * Everything that callers, workers and machines observed in one run. All times are milliseconds of one monotonic clock.
  *
  * @module
  */
 import type { CallerStep, FleetRunRecord, MachineOrderRecord, OverloadRecord } from '@quillscale/platform-fleet'
 import type { LimitChange, SoakAccount } from './SoakAccounts.js'
 
-/** What a client was told of a job it handed in: `accepted` once, `refused` each time, or at least once nothing certain. @public */
+/**
+ * The outcome of submitting a job: `accepted` if any attempt was accepted, `refused` if every attempt was certainly refused, `unknown` otherwise.
+ *
+ * @public
+ */
 export type SubmitOutcome = 'accepted' | 'refused' | 'unknown'
 
-/** A job as its client sees it. @public */
+/** A job as its client observed it. @public */
 export interface JobView {
   readonly jobId: string
   readonly steps: readonly CallerStep[]
@@ -17,49 +21,49 @@
   submitted: SubmitOutcome
   acceptedMs: number | undefined
   cancelAcknowledgedMs: number | undefined
-  /** Each of its tasks ends the worker that starts it. */
+  /** Whether each of its tasks crashes the worker that starts it. */
   readonly crashesWorkers: boolean
-  /** Whether a cancel was sent, answered or not. */
+  /** Whether a cancel request was sent, answered or not. */
   isCancelSent: boolean
-  /** When it was answered that there is no such job. */
+  /** Times of the queries that were answered with "no such job". */
   readonly unknownAtMs: number[]
-  /** As told after everything had healed; empty if nobody told. */
+  /** The state reported after all faults had ended; empty if no host reported one. */
   finalState: string
 }
 
-/** How a process ended. @public */
+/** The exit of an entry host's process. @public */
 export interface ProcessEnd {
   readonly hostName: string
-  /** What was sent to it; empty if nothing. */
+  /** The signal that the soak had sent to it; empty if none. */
   readonly signal: '' | 'SIGTERM' | 'SIGKILL'
   readonly exitCode: number | null
   readonly atMs: number
 }
 
-/** A request whose connection broke although its host was only being stopped. @public */
+/** A request whose connection broke during a planned stop of its host. @public */
 export interface BrokenRequest { readonly hostName: string, readonly sentMs: number, readonly brokenMs: number }
 
-/** A question to a host, undisturbed for a while, of a queue that a configuration adds or removes. @public */
+/** A request to an undisturbed host for the queue that configuration changes add and remove. @public */
 export interface ConfigurationProbe {
   readonly hostName: string
   readonly sentMs: number
-  /** Whether a configuration that may be in force then has the queue, or lacks it. */
+  /** Whether any configuration that may have been in force at that time has the queue (`mayExist`) or lacks it (`mayBeMissing`). */
   readonly mayExist: boolean
   readonly mayBeMissing: boolean
   readonly status: number
 }
 
-/** A call to a host, undisturbed for a while, with a key that is in force, was taken away, or never was. @public */
+/** A request to an undisturbed host with a key that is valid, was revoked, or never existed. @public */
 export interface KeyProbe {
   readonly hostName: string
   readonly sentMs: number
-  /** Whether a configuration that may be in force then has the key, and whether all have. */
+  /** Whether any (`mayHold`) or every (`mustHold`) configuration that may have been in force at that time has the key. */
   readonly mayHold: boolean
   readonly mustHold: boolean
   readonly status: number
 }
 
-/** A whole run. @public */
+/** The record of one run, which the promises are checked against. @public */
 export interface History {
   readonly jobs: readonly JobView[]
   readonly runs: readonly FleetRunRecord[]
@@ -69,8 +73,8 @@
   readonly broken: readonly BrokenRequest[]
   readonly probes: readonly ConfigurationProbe[]
   readonly keyProbes: readonly KeyProbe[]
-  /** Of the limited account, in their order. */
+  /** The limits of the limited account, in order of time. */
   readonly limits: readonly LimitChange[]
-  /** The most machines of a wave that may be down. */
+  /** How many machines of a wave may be down for maintenance at once. */
   readonly maxInUpkeep: number
 }
--- a/packages/soak/src/lib/SoakAccounts.ts
+++ b/packages/soak/src/lib/SoakAccounts.ts
@@ -1,34 +1,34 @@
 /**
- * Client accounts of one run: their keys and limits, and when these changed.
+ * Client accounts of one run: their API keys and limits, and the times at which these changed.
  *
  * @module
  */
 import type { AccountSettings } from '@quillscale/platform-fleet'
 
-/** The accounts: one that is limited, and one that is not. @public */
+/** Names of the accounts: the first has a limit, the second has none. @public */
 export const ACCOUNTS = ['press', 'herald'] as const
-/** One of them. @public */
+/** The name of an account. @public */
 export type SoakAccount = typeof ACCOUNTS[number]
 
-/** So many thousandths of a core each task takes. @public */
+/** CPU that each task uses, in thousandths of a core. @public */
 export const TASK_CPU_MILLIS = 1000
-/** Tasks that the limited account may have running, and while its limit is lowered. */
+/** How many tasks the limited account may have running: normally, and while its limit is lowered. */
 const LIMIT_TASKS = 4
 const LOWERED_TASKS = 2
-/** A configuration is in force everywhere after this. From the users' sites. @public */
+/** Time after which every host must apply a new configuration, as at the users' sites. @public */
 export const APPLY_MS = 2000
 
-/** A limit of the first account, from then on. @public */
+/** A new limit of the limited account, valid from `atMs` on. @public */
 export interface LimitChange { readonly atMs: number, readonly tasks: number }
 
 interface KeyValidity { readonly account: SoakAccount, readonly key: string, readonly fromMs: number, toMs: number }
 
-/** The accounts. @public */
+/** Tracks which keys and limits were configured at which time. @public */
 export class SoakAccounts {
   readonly limits: LimitChange[] = [{ atMs: -Infinity, tasks: LIMIT_TASKS }]
   readonly #keyValidities: KeyValidity[] = ACCOUNTS.map((account) => ({ account, key: `${account}-key-0`, fromMs: -Infinity, toMs: Infinity }))
 
-  /** As the next configuration has them. */
+  /** The accounts as the next configuration contains them. */
   get accountSettings (): AccountSettings[] {
     const tasks = this.limits.at(-1)?.tasks ?? LIMIT_TASKS
     return ACCOUNTS.map((name) => ({
@@ -38,18 +38,23 @@
     }))
   }
 
-  /** @param account - any @param nowMs - present @returns a key of it that is in force everywhere */
+  /** @param account - the account @param nowMs - the current time @returns its newest key that every host must accept, empty if there is none */
   currentKey (account: SoakAccount, nowMs: number): string {
     const inForce = this.#keyValidities.filter((validity) => validity.account === account && validity.fromMs + APPLY_MS <= nowMs && validity.toMs > nowMs)
     return inForce.at(-1)?.key ?? ''
   }
 
-  /** @param nowMs - present @returns the key that was taken away last, one that nobody ever had if none was */
+  /** @param nowMs - the current time @returns the most recently revoked key, or a key that never existed if none was revoked */
   lastRevokedKey (nowMs: number): string {
     return this.#keyValidities.filter(({ toMs }) => toMs <= nowMs).at(-1)?.key ?? 'nobody-key'
   }
 
-  /** @param key - any @param sentMs - when it was sent @param doneMs - when it was answered @returns whether it may, and must, have been accepted */
+  /**
+   * @param key - the key of a request
+   * @param sentMs - time at which the request was sent
+   * @param doneMs - time at which it was answered
+   * @returns whether a host may have accepted the key, and whether it must have accepted it
+   */
   expectedAcceptance (key: string, sentMs: number, doneMs: number): { readonly mayHold: boolean, readonly mustHold: boolean } {
     const validity = this.#keyValidities.find((each) => each.key === key)
     if (validity === undefined) return { mayHold: false, mustHold: false }
@@ -59,12 +64,12 @@
     }
   }
 
-  /** Gives an account another key. @param account - any @param nowMs - present */
+  /** Adds a key to an account. @param account - the account @param nowMs - the current time */
   addKey (account: SoakAccount, nowMs: number): void {
     this.#keyValidities.push({ account, key: `${account}-key-${this.#keyValidities.length}`, fromMs: nowMs, toMs: Infinity })
   }
 
-  /** Takes all keys of an account away that another one replaces everywhere. @param account - any @param nowMs - present */
+  /** Revokes all keys of an account but the newest one that every host accepts. @param account - the account @param nowMs - the current time */
   revokeReplacedKeys (account: SoakAccount, nowMs: number): void {
     const inForce = this.currentKey(account, nowMs)
     const isReplaced = (validity: KeyValidity): boolean =>
@@ -72,7 +77,7 @@
     for (const validity of this.#keyValidities.filter(isReplaced)) validity.toMs = nowMs
   }
 
-  /** @param isLowered - whether the first account may have less running @param nowMs - present */
+  /** Changes the limit of the limited account. @param isLowered - whether the lower limit applies @param nowMs - the current time */
   setLimit (isLowered: boolean, nowMs: number): void {
     this.limits.push({ atMs: nowMs, tasks: isLowered ? LOWERED_TASKS : LIMIT_TASKS })
   }
--- a/packages/soak/src/lib/SoakCallers.ts
+++ b/packages/soak/src/lib/SoakCallers.ts
@@ -1,5 +1,5 @@
 /**
- * Callers of one run: they hand jobs in, ask for them, cancel some, and note what they were told.
+ * Callers of one run: submit jobs, query their states, cancel some, and record the answers.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 import { ACCOUNTS, APPLY_MS, TASK_CPU_MILLIS, type SoakAccount } from './SoakAccounts.js'
 import { EXTRA_QUEUE_PATH, QUEUE_HOST, SERVICES, type SoakEnvironment } from './SoakEnvironment.js'
 
-/** The size and mix of the load: enough that every fault meets jobs in each state, little enough for one machine. */
+/** The size and mix of the load: enough that every fault affects jobs in each state, and little enough for one machine. */
 const CALL_TIMEOUT_MS = 3000
 const MAX_ATTEMPTS = 5
 const JOB_GAP_MS = 150
@@ -21,12 +21,12 @@
 const MIN_TASK_MS = 20
 const TASK_MS_SPREAD = 400
 const MAX_TASKS_PER_STEP = 3
-/** Tasks that end their worker do so this soon after their start. */
+/** Time after which a crashing task ends its worker. */
 const CRASH_DELAY_MS = 10
 const ONE_STEP_SHARE = 0.5
 const LASTING_TASK_COUNT = 3
 const PROBE_INTERVAL_MS = 250
-/** A host counts as undisturbed after this. From the users' sites. */
+/** Time since the last disturbance after which a host counts as undisturbed, as at the users' sites. */
 const UNDISTURBED_MS = 3000
 const RETRY_PAUSE_MS = 200
 const MS_PER_S = 1000
@@ -34,7 +34,7 @@
 
 interface HostAnswer { readonly host: EntryProcess, readonly outcome: CallOutcome }
 
-/** The callers. @public */
+/** Generates the load of a run and probes configuration and keys. @public */
 export class SoakCallers {
   readonly jobs: JobView[] = []
   readonly broken: BrokenRequest[] = []
@@ -42,36 +42,36 @@
   readonly keyProbes: KeyProbe[] = []
   readonly #environment: SoakEnvironment
   readonly #random: SeededRandom
-  /** Connections are kept open until their process is gone. */
+  /** Keeps connections open until their process exits. */
   readonly #agent = new Agent({ keepAlive: true })
   readonly #stop = new AbortController()
   readonly #pending: Array<Promise<void>> = []
-  /** Of each job, by its id. */
+  /** The request path of each job, by its id. */
   readonly #paths = new Map<string, string>()
   #nextJobNumber = 1
 
-  /** @param environment - where they call @param random - of the seed */
+  /** @param environment - the hosts to call and the clock @param random - random numbers drawn from the seed */
   constructor (environment: SoakEnvironment, random: SeededRandom) {
     this.#environment = environment
     this.#random = random
-    // Many waits end with it.
+    // Each pending delay adds a listener.
     setMaxListeners(0, this.#stop.signal)
   }
 
-  /** Hands in the lasting jobs, then others, until stopped. */
+  /** Submits the lasting jobs, then other jobs until {@link stop} is called. */
   async run (): Promise<void> {
     for (const service of SERVICES) this.#addJob(service, [{ taskCount: LASTING_TASK_COUNT, dependsOn: [], isLasting: true, maxAway: 1 }], 0)
     this.#pending.push(this.#probeConfiguration(), this.#probeKeys())
     while (await delay(this.#random.exponentialMs(JOB_GAP_MS), this.#stop.signal)) this.#addJob(this.#random.pick(SERVICES), this.#drawSteps(), this.#drawMs())
   }
 
-  /** No new jobs; waits for what is under way. */
+  /** Stops submitting jobs, and waits for the calls in progress. */
   async stop (): Promise<void> {
     this.#stop.abort()
     await Promise.all(this.#pending)
   }
 
-  /** Asks for every accepted job until its state is final. @param timeoutMs - for all together */
+  /** Queries every accepted job until it has reached its expected state. @param timeoutMs - timeout for all jobs together */
   async awaitFinalStates (timeoutMs: number): Promise<void> {
     const untilMs = this.#nowMs() + timeoutMs
     await Promise.all(this.jobs.filter(({ submitted }) => submitted === 'accepted').map(async (job) => {
@@ -103,7 +103,7 @@
     const jobId = (this.#nextJobNumber++).toString(16).padStart(16, '0')
     const crashesWorkers = runMs > 0 && this.#environment.remainingCrashingJobs > 0
     if (crashesWorkers) this.#environment.remainingCrashingJobs--
-    // Lasting jobs and those that crash workers would fill the limit for long.
+    // Lasting jobs and jobs that crash workers would use up the account's limit for a long time.
     const account = runMs > 0 && !crashesWorkers && this.#nextJobNumber % 2 === 0 ? ACCOUNTS[0] : ACCOUNTS[1]
     const job: JobView = {
       jobId, steps, account, crashesWorkers, submitted: 'unknown', acceptedMs: undefined, cancelAcknowledgedMs: undefined, isCancelSent: false, unknownAtMs: [], finalState: ''
@@ -128,7 +128,7 @@
     if (outcome.kind === 'answer' && outcome.status === 410) job.unknownAtMs.push(sentMs)
   }
 
-  /** Refused each time is refused; one answer that never came, or was uncertain, makes it unknown until it is accepted. */
+  /** Returns `refused` only if every attempt was certainly refused: after one missing or uncertain answer the job may have been accepted. */
   async #submit (job: JobView, body: unknown): Promise<SubmitOutcome> {
     let isUncertain = false
     for (let tries = 0; tries < MAX_ATTEMPTS; tries++) {
@@ -191,7 +191,7 @@
     }
   }
 
-  /** By turns with a key in force, with the one that was taken away last, and with one that nobody had. */
+  /** Alternates between a valid key, the most recently revoked key, and a key that never existed. */
   async #probeKeys (): Promise<void> {
     const { accounts, hosts } = this.#environment
     for (let probe = 0; await delay(PROBE_INTERVAL_MS, this.#stop.signal); probe++) {
--- a/packages/soak/src/lib/SoakEnvironment.ts
+++ b/packages/soak/src/lib/SoakEnvironment.ts
@@ -1,5 +1,5 @@
 /**
- * Everything of one run: stand-ins of store, workers and machines, proxies in front of them, and the processes under test.
+ * The environment of one run: stand-ins of store, workers and machines, proxies in front of them, and the processes under test.
  *
  * @module
  */
@@ -10,52 +10,52 @@
 import { FaultProxy } from './FaultProxy.js'
 import { SoakAccounts } from './SoakAccounts.js'
 
-/** How large a run is. @public */
+/** The number of hosts and machines of a run. @public */
 export interface SoakSize { readonly hosts: number, readonly machinesPerService: number }
 
-/** The services; each has a queue that stays. @public */
+/** The services; each has a permanent queue. @public */
 export const SERVICES = ['grids', 'checks'] as const
 /** The host name of all queues. @public */
 export const QUEUE_HOST = 'soak.example'
 const PERMANENT_QUEUES: readonly QueueSettings[] = SERVICES.map((service) => ({ host: QUEUE_HOST, pathPrefix: `/${service}/`, service }))
-/** Where the queue is that configurations add and remove. @public */
+/** The path of the queue that configuration changes add and remove. @public */
 export const EXTRA_QUEUE_PATH = '/extra/'
 const EXTRA_QUEUE: QueueSettings = { host: QUEUE_HOST, pathPrefix: EXTRA_QUEUE_PATH, service: SERVICES[0] }
-/** Of each machine: so many tasks fit. */
+/** CPU of each machine, enough for six tasks. */
 const MACHINE_CPU_MILLIS = 6000
 const MAX_CLOCK_OFFSET_MS = 400
-/** The most machines of a wave that may be down. @public */
+/** How many machines of a wave may be down for maintenance at once. @public */
 export const MAX_IN_MAINTENANCE = 2
 
-/** Cut short, of another type, or naming an address where nobody listens. */
+/** Unexpected values: truncated, of another type, or with an address at which nothing listens. */
 const FOREIGN_VALUES: readonly string[] = [
   '', '{', '7', '[]', JSON.stringify({ Service: SERVICES[0], Address: '127.0.0.1:9', State: 'ready' }), JSON.stringify({ Service: 7, Address: '127.0.0.1:99999', State: 'x' })
 ]
 
-/** A change of the extra queue. @public */
+/** The addition or removal of the extra queue. @public */
 export interface ExtraQueueChange { readonly atMs: number, readonly exists: boolean }
 
-/** The world. @public */
+/** Starts, disturbs and stops everything that a run consists of. @public */
 export class SoakEnvironment {
   readonly clock: Clock
   readonly store: StandInWireStore
   readonly memory: MemoryKeyValueStore
   readonly fleet: StandInWireFleet
   readonly hosts: EntryProcess[] = []
-  /** Between each host and the store. */
+  /** Proxies between each host and the store, by the host's index. */
   readonly storeLinks: FaultProxy[] = []
-  /** In front of each machine. */
+  /** Proxies in front of the machines, by machine id. */
   readonly machineLinks = new Map<string, FaultProxy>()
   readonly extraQueueChanges: ExtraQueueChange[] = []
   readonly accounts = new SoakAccounts()
-  /** So many of the next jobs end the workers that start them. */
+  /** How many of the next jobs crash the workers that start them. */
   remainingCrashingJobs = 0
-  /** When the store was last disturbed. */
+  /** Time of the last store fault; `Infinity` while one is active. */
   storeLastDisturbedMs = -Infinity
   #configurationVersion = 0
   #lastWave = 0
 
-  /** @param clock - steady, for everything @param size - how large */
+  /** @param clock - the clock of all stand-ins and records @param size - the number of hosts and machines */
   constructor (clock: Clock, size: SoakSize) {
     this.clock = clock
     this.memory = new MemoryKeyValueStore(clock)
@@ -76,7 +76,7 @@
     return await proxy.listen()
   }
 
-  /** @param count - of hosts @param directory - for settings and logs @param random - draws their clocks */
+  /** Starts everything. @param count - number of hosts @param directory - directory for settings and logs @param random - draws the hosts' clock offsets */
   async start (count: number, directory: string, random: SeededRandom): Promise<void> {
     const machinesPort = await this.fleet.start()
     const { port: storePort } = await this.store.listen()
@@ -96,30 +96,30 @@
     for (const host of this.hosts) host.start()
   }
 
-  /** Whether nothing but planned work touched a host lately. @param host - any @param forMs - how long */
+  /** Whether a host has been free of faults, planned stops aside. @param host - the host @param forMs - the required time without faults */
   isUndisturbed (host: EntryProcess, forMs: number): boolean {
     const nowMs = this.clock.monotonicMs()
     return !host.isFrozen && nowMs - Math.max(host.lastDisturbedMs, this.storeLastDisturbedMs) > forMs
   }
 
-  /** Writes a configuration. @param exists - whether the extra queue is in it */
+  /** Writes a configuration with or without the extra queue. @param exists - whether it contains the extra queue */
   async setExtraQueue (exists: boolean): Promise<void> {
     this.extraQueueChanges.push({ atMs: this.clock.monotonicMs(), exists })
     await this.writeConfiguration()
   }
 
-  /** Writes the configuration as it should be now. */
+  /** Writes the current configuration under the next version. */
   async writeConfiguration (): Promise<void> {
     const queues = this.extraQueueChanges.at(-1)?.exists === true ? [...PERMANENT_QUEUES, EXTRA_QUEUE] : PERMANENT_QUEUES
     await this.#write(encodeConfiguration(++this.#configurationVersion, queues, SERVICES, this.accounts.accountSettings))
   }
 
-  /** Asks for upkeep. @param machineIds - that are due */
+  /** Requests a maintenance wave. @param machineIds - the machines that are due */
   async requestMaintenanceWave (machineIds: readonly string[]): Promise<void> {
     await this.#write(encodeWaveRequest(++this.#lastWave, machineIds, MAX_IN_MAINTENANCE))
   }
 
-  /** Somebody else writes below the prefixes that the program reads. @param random - picks what and where */
+  /** Writes an unexpected entry below a prefix that the program reads. @param random - draws the key and the value */
   async writeForeignEntry (random: SeededRandom): Promise<void> {
     const value = random.pick(FOREIGN_VALUES)
     const keys = ['servers/foreign', 'op/wave/x', 'op/other', 'demand/foreign', 'hosts/foreign', `inbox/${SERVICES[0]}/ffffffffffffffff`]
@@ -143,7 +143,7 @@
     }
   }
 
-  /** Ends everything that was started here. */
+  /** Stops all hosts, proxies and stand-ins. */
   async close (): Promise<void> {
     await Promise.all(this.hosts.map((host) => host.close()))
     for (const link of [...this.storeLinks, ...this.machineLinks.values()]) link.close()
@@ -152,7 +152,7 @@
   }
 }
 
-/** All hosts serve at the same ports; runs side by side use other addresses. */
+/** Derives a host's loopback address. All hosts use the same ports, so each host, and each soak process running in parallel, needs its own address. */
 function ownAddress (index: number): string {
   const OCTET_VALUES = 250
   return `127.${1 + process.pid % OCTET_VALUES}.${Math.floor(process.pid / OCTET_VALUES) % OCTET_VALUES}.${index + 1}`
--- a/packages/soak/src/lib/checkPromises.ts
+++ b/packages/soak/src/lib/checkPromises.ts
@@ -1,5 +1,5 @@
 /**
- * Checks the promises of the program against what was seen of it.
+ * Checks the promises of the program against the record of a run.
  *
  * @module
  */
@@ -7,18 +7,24 @@
 import type { History, JobView } from './History.js'
 import { ACCOUNTS, APPLY_MS } from './SoakAccounts.js'
 
-/** A promise that was not kept. @public */
+/** A violation of a promise. @public */
 export interface BrokenPromise { readonly promise: string, readonly detail: string }
 
-/** A cancelled job starts nothing after this, and runs nothing a stop later; a job is told of after this. From the users' sites. */
+/**
+ * Bounds as at the users' sites: a cancelled job starts no task later than `CANCEL_START_MS` after the acknowledgement, its running tasks stop within
+ * `CANCEL_STOP_MS` after that, and an accepted job is visible on every host after `JOB_VISIBLE_MS`.
+ */
 const CANCEL_START_MS = 3000
 const CANCEL_STOP_MS = 1000
 const JOB_VISIBLE_MS = 3000
-/** Orders of two holders for one machine are this far apart. */
+/** Minimum time between orders of two duty holders for one machine. */
 const MIN_HOLDER_CHANGE_MS = 3000
-/** A request counts as read if its connection broke later than this after it was sent. */
+/** A request whose connection breaks within this time may not have been read by the host, and does not count as aborted. */
 const UNREAD_REQUEST_MS = 200
-/** After so many workers ended under a task it may be started so often more; a room that shrank counts after this. From the users' sites. */
+/**
+ * Bounds as at the users' sites: a task that crashed `CRASH_LIMIT` workers may be started `MAX_EXTRA_STARTS` more times, and a reduced capacity must be
+ * respected after `CAPACITY_UPDATE_MS`.
+ */
 const CRASH_LIMIT = 3
 const MAX_EXTRA_STARTS = 2
 const CAPACITY_UPDATE_MS = 3000 + 1500
@@ -41,28 +47,28 @@
     const isLastingJob = job.steps.some(({ isLasting }) => isLasting)
     const expectedState = job.crashesWorkers ? 'failed' : isLastingJob ? 'running' : 'succeeded'
     const isExpected = job.finalState === expectedState || (job.isCancelSent && ['cancelled', 'succeeded'].includes(job.finalState))
-    return isExpected ? [] : [`${job.jobId} was accepted and is shown as "${job.finalState}"`]
+    return isExpected ? [] : [`${job.jobId} was accepted, but its final state is "${job.finalState}"`]
   })
 }
 
 function findForgottenJobs ({ jobs }: History): string[] {
   return jobs.flatMap(({ jobId, acceptedMs, isCancelSent, unknownAtMs }) => {
     const unknownMs = unknownAtMs.find((atMs) => acceptedMs !== undefined && atMs > acceptedMs + JOB_VISIBLE_MS)
-    return unknownMs === undefined || isCancelSent ? [] : [`${jobId} was accepted at ${acceptedMs} and not known at ${unknownMs}`]
+    return unknownMs === undefined || isCancelSent ? [] : [`${jobId} was accepted at ${acceptedMs}, but a host did not know it at ${unknownMs}`]
   })
 }
 
 function findRefusedJobRuns ({ jobs, runs }: History): string[] {
   const refused = new Set(jobs.filter(({ submitted }) => submitted === 'refused').map(({ jobId }) => jobId))
-  return runs.filter(({ taskKey }) => refused.has(jobIdOf(taskKey))).map(({ taskKey }) => `${taskKey} ran though its job was refused`)
+  return runs.filter(({ taskKey }) => refused.has(jobIdOf(taskKey))).map(({ taskKey }) => `${taskKey} ran although its job was refused`)
 }
 
 function findUnrequestedRuns ({ jobs, runs }: History): string[] {
   const submitted = new Set(jobs.map(({ jobId }) => jobId))
-  return runs.filter(({ taskKey }) => !submitted.has(jobIdOf(taskKey))).map(({ taskKey }) => `${taskKey} ran and nobody asked for it`)
+  return runs.filter(({ taskKey }) => !submitted.has(jobIdOf(taskKey))).map(({ taskKey }) => `${taskKey} ran although its job was never submitted`)
 }
 
-/** Two runs at a time, or one after an end that was taken note of. */
+/** Whether the runs overlap in time, or the second follows a completion that the scheduler had acknowledged. */
 function isDuplicate (first: FleetRunRecord, second: FleetRunRecord): boolean {
   return second.startedMs < endOf(first) || (first.end === 'done' && first.isAcknowledged)
 }
@@ -78,7 +84,7 @@
 function findStepOrderViolations ({ jobs, runs }: History): string[] {
   const byJob = groupBy(runs, ({ taskKey }) => jobIdOf(taskKey))
   return jobs.flatMap((job) => (byJob.get(job.jobId) ?? []).filter((run) => !isInOrder(job, run, byJob.get(job.jobId) ?? []))
-    .map(({ taskKey }) => `${taskKey} started before the steps that it depends on were done`))
+    .map(({ taskKey }) => `${taskKey} started before the steps that it depends on were complete`))
 }
 
 function isInOrder (job: JobView, run: FleetRunRecord, jobRuns: readonly FleetRunRecord[]): boolean {
@@ -94,14 +100,14 @@
     const atMs = cancelled.get(jobIdOf(run.taskKey))
     if (atMs === undefined) return []
     if (run.startedMs > atMs + CANCEL_START_MS) return [`${run.taskKey} started ${run.startedMs - atMs} ms after its cancel was acknowledged`]
-    return endOf(run) > atMs + CANCEL_START_MS + CANCEL_STOP_MS + RUN_LEASE_MS ? [`${run.taskKey} ran on after its cancel`] : []
+    return endOf(run) > atMs + CANCEL_START_MS + CANCEL_STOP_MS + RUN_LEASE_MS ? [`${run.taskKey} was still running after its cancel and its lease`] : []
   })
 }
 
-/** Runs of a worker that nobody reaches end with their lease. */
+/** Duration of a run's lease; runs of an unreachable worker end with it. */
 const RUN_LEASE_MS = 7000
 
-/** An order took a lasting task away while so many others of its step were away by orders. */
+/** Finds lasting tasks that an order ended while the allowed number of tasks of their step were already away because of orders. */
 function findExceededBudgets ({ jobs, runs }: History): string[] {
   const lasting = jobs.filter(({ steps, isCancelSent }) => !isCancelSent && steps[0]?.isLasting === true && steps[0].maxAway !== undefined)
   return lasting.flatMap((job) => {
@@ -110,7 +116,7 @@
     const tasks = groupBy(jobRuns, ({ taskKey }) => taskKey)
     return ordered.flatMap((run) => {
       const away = [...tasks].filter(([taskKey, runsOfTask]) => taskKey !== run.taskKey && isAwayByOrder(runsOfTask, endOf(run)))
-      return away.length < (job.steps[0]?.maxAway ?? Infinity) ? [] : [`${run.taskKey} was ended at ${run.endedMs} while ${away.length} others of its step were away`]
+      return away.length < (job.steps[0]?.maxAway ?? Infinity) ? [] : [`${run.taskKey} was ended at ${run.endedMs} while ${away.length} other tasks of its step were away`]
     })
   })
 }
@@ -124,31 +130,31 @@
   return [...groupBy(orders, ({ machineId }) => machineId)].flatMap(([machineId, machineOrders]) => machineOrders.slice(1).flatMap((order, index) => {
     const before = machineOrders[index]
     if (before === undefined || before.holder === order.holder) return []
-    if (order.fencingToken <= before.fencingToken) return [`${machineId}: the token fell from ${before.fencingToken} to ${order.fencingToken}`]
-    return order.atMs - before.atMs < MIN_HOLDER_CHANGE_MS ? [`${machineId}: two holders ordered it within ${order.atMs - before.atMs} ms`] : []
+    if (order.fencingToken <= before.fencingToken) return [`${machineId}: the fencing token fell from ${before.fencingToken} to ${order.fencingToken}`]
+    return order.atMs - before.atMs < MIN_HOLDER_CHANGE_MS ? [`${machineId}: two duty holders ordered it within ${order.atMs - before.atMs} ms`] : []
   }))
 }
 
 function findOversizedWaves ({ orders, maxInUpkeep }: History): string[] {
-  return orders.filter(({ kind, inUpkeep }) => kind === 'upkeep' && inUpkeep > maxInUpkeep).map(({ machineId, inUpkeep }) => `${machineId}: ${inUpkeep} were down for upkeep`)
+  return orders.filter(({ kind, inUpkeep }) => kind === 'upkeep' && inUpkeep > maxInUpkeep).map(({ machineId, inUpkeep }) => `${machineId}: ${inUpkeep} machines of a wave were down for maintenance`)
 }
 
 function findAbortedRequests ({ broken }: History): string[] {
   return broken.filter(({ sentMs, brokenMs }) => brokenMs - sentMs > UNREAD_REQUEST_MS)
-    .map(({ hostName, sentMs, brokenMs }) => `${hostName} was stopped as planned and broke a request off that it had had for ${brokenMs - sentMs} ms`)
+    .map(({ hostName, sentMs, brokenMs }) => `${hostName} aborted a request ${brokenMs - sentMs} ms after it was sent, during a planned stop`)
 }
 
 function findUnexpectedExits ({ ends }: History): string[] {
   return ends.filter(({ signal, exitCode }) => signal === '' || (signal === 'SIGTERM' && exitCode !== 0))
-    .map(({ hostName, signal, exitCode }) => `${hostName} ended with ${exitCode} after ${signal === '' ? 'nothing' : signal}`)
+    .map(({ hostName, signal, exitCode }) => `${hostName} exited with code ${exitCode} after ${signal === '' ? 'no signal' : signal}`)
 }
 
 function findConfigurationViolations ({ probes }: History): string[] {
   return probes.filter(({ status, mayExist, mayBeMissing }) => (status === 404 && !mayBeMissing) || (status === 200 && !mayExist))
-    .map(({ hostName, status, sentMs }) => `${hostName} answered ${status} at ${sentMs} against the configuration in force`)
+    .map(({ hostName, status, sentMs }) => `${hostName} answered ${status} at ${sentMs}, contrary to the configuration in force`)
 }
 
-/** Of one job's tasks: starts after the third worker ended under the task. */
+/** Finds tasks that were started too often after the third worker had crashed under them. */
 function findUnboundedCrashes ({ jobs, runs }: History): string[] {
   const crashing = new Set(jobs.filter(({ crashesWorkers }) => crashesWorkers).map(({ jobId }) => jobId))
   const runsByTask = groupBy(runs.filter(({ taskKey }) => crashing.has(jobIdOf(taskKey))), ({ taskKey }) => taskKey)
@@ -156,18 +162,18 @@
     const ends = runsOfTask.filter((run) => run.end === undefined && run.endedMs !== undefined && !run.endedByOrder).map(endOf).sort((a, b) => a - b)
     const limitReachedMs = ends[CRASH_LIMIT - 1] ?? Infinity
     const starts = runsOfTask.filter(({ startedMs }) => startedMs > limitReachedMs).length
-    return starts <= MAX_EXTRA_STARTS ? [] : [`${taskKey} was started ${starts} times after three workers had ended under it`]
+    return starts <= MAX_EXTRA_STARTS ? [] : [`${taskKey} was started ${starts} times after three workers had crashed under it`]
   })
 }
 
 function findOverloads ({ overloads }: History): string[] {
   return overloads.filter(({ atMs, shrunkMs }) => atMs - shrunkMs > CAPACITY_UPDATE_MS)
-    .map(({ machineId, atMs, shrunkMs }) => `${machineId} was told to start what did not fit, ${atMs - shrunkMs} ms after it had shrunk`)
+    .map(({ machineId, atMs, shrunkMs }) => `${machineId} was ordered to start a task beyond its capacity ${atMs - shrunkMs} ms after its capacity was reduced`)
 }
 
 function findKeyViolations ({ keyProbes }: History): string[] {
   return keyProbes.filter(({ status, mayHold, mustHold }) => (status === UNAUTHORIZED && mustHold) || (status === OK && !mayHold))
-    .map(({ hostName, status, sentMs }) => `${hostName} answered ${status} at ${sentMs} against the keys in force`)
+    .map(({ hostName, status, sentMs }) => `${hostName} answered ${status} at ${sentMs}, contrary to the keys in force`)
 }
 
 function findLimitViolations ({ jobs, runs, limits }: History): string[] {
@@ -177,11 +183,11 @@
     const running = limitedRuns.filter((other) => other.startedMs <= startedMs && endOf(other) > startedMs).length
     const inForce = limits.filter(({ atMs }, index) => atMs <= startedMs && (limits[index + 1]?.atMs ?? Infinity) > startedMs - APPLY_MS)
     const allowed = Math.max(...inForce.map(({ tasks }) => tasks))
-    return running <= allowed ? [] : [`${taskKey} was started as the ${running}th at once of an account that may have ${allowed}`]
+    return running <= allowed ? [] : [`${taskKey} brought its account to ${running} running tasks, of which ${allowed} are allowed`]
   })
 }
 
-/** Every promise, and how it is checked. @public */
+/** Every promise with the function that returns its violations in a run. @public */
 export const PROMISES: Readonly<Record<string, (history: History) => string[]>> = {
   'an accepted job is kept': findLostJobs,
   'an accepted job is known': findForgottenJobs,
@@ -202,7 +208,7 @@
   'limits hold': findLimitViolations
 }
 
-/** @param history - of a run @returns every broken promise @public */
+/** Checks all promises. @param history - the record of a run @returns every violation @public */
 export function checkPromises (history: History): BrokenPromise[] {
   return Object.entries(PROMISES).flatMap(([promise, check]) => check(history).map((detail) => ({ promise, detail })))
 }
--- a/packages/soak/src/lib/faults.ts
+++ b/packages/soak/src/lib/faults.ts
@@ -1,5 +1,5 @@
 /**
- * What the soak does to the world, by a seed.
+ * The faults that the soak injects, drawn from a seed.
  *
  * @module
  */
@@ -8,22 +8,22 @@
 import { ACCOUNTS, APPLY_MS } from './SoakAccounts.js'
 import type { SoakEnvironment } from './SoakEnvironment.js'
 
-/** Begins a fault; what it returns ends it. */
+/** Starts a fault and returns the function that ends it, or `undefined` if it ends by itself. */
 type Fault = (environment: SoakEnvironment, random: SeededRandom, forMs: number) => (() => void) | undefined
 
 const LINK_FAULTS: readonly LinkFault[] = ['delay', 'reset', 'refuse', 'silent', 'silent-to', 'silent-from']
-/** Between the stops of a rolling restart. */
+/** Time between the stops of a rolling restart. */
 const ROLLING_STOP_GAP_MS = 900
-/** More than may be down at once. */
+/** Machines that a wave asks for; more than may be down at once. */
 const MACHINES_PER_WAVE = 4
 const SLOW_STORE_MS = 120
 const SERVICE_UNAVAILABLE = 503
-/** Clients take a new key up after it is in force, and before the old one goes. */
+/** Time that clients have to switch to a new key, after it is in force and before the old key is revoked. */
 const KEY_SWITCH_MS = 500
-/** A worker that starts again is back before its registration ends. */
+/** Longest restart of a worker, shorter than its registration lasts. */
 const MAX_RESTART_MS = 500
 const RESTART_SHARE = 0.3
-/** A worker that shrinks keeps less than this of its size. */
+/** A worker whose capacity shrinks keeps less than this share of it. */
 const MAX_SHRUNK_SHARE = 0.7
 
 function disturbStore (environment: SoakEnvironment, change: () => void, undo: () => void): () => void {
@@ -43,7 +43,7 @@
   }
 }
 
-/** Every kind of fault; new ones come last, so that a seed can be played with those that there were. @public */
+/** All kinds of faults. New kinds are appended, so that an old seed can be replayed with the kinds that existed then. @public */
 export const FAULTS: Readonly<Record<string, Fault>> = {
   'host killed': (environment, random) => {
     random.pick(environment.hosts).kill()
@@ -161,15 +161,23 @@
   }
 }
 
-/** One fault of a run. @public */
+/** A fault of a run: its kind, start and duration. @public */
 export interface PlannedFault { readonly kind: string, readonly atMs: number, readonly forMs: number }
 
-/** Faults come this far apart on average, and last between these; several overlap. */
+/** Average time between the starts of faults, and the range of their durations; several faults overlap. */
 const MEAN_FAULT_GAP_MS = 700
 const MIN_FAULT_MS = 200
 const MAX_FAULT_MS = 4000
 
-/** @param random - of the seed @param lengthMs - of the run @param kindCount - the first so many kinds are drawn from @returns its faults @public */
+/**
+ * Draws the faults of a run.
+ *
+ * @param random - random numbers of the seed
+ * @param lengthMs - length of the run
+ * @param kindCount - how many kinds to draw from, in the order of {@link FAULTS}
+ * @returns the faults, by time
+ * @public
+ */
 export function planFaults (random: SeededRandom, lengthMs: number, kindCount = Infinity): PlannedFault[] {
   const planned: PlannedFault[] = []
   const kinds = Object.keys(FAULTS).slice(0, kindCount)
--- a/packages/soak/src/lib/runSoak.ts
+++ b/packages/soak/src/lib/runSoak.ts
@@ -1,5 +1,5 @@
 /**
- * Plays one seed.
+ * Runs the soak with one seed.
  *
  * @module
  */
@@ -13,17 +13,17 @@
 import { SoakCallers } from './SoakCallers.js'
 import { MAX_IN_MAINTENANCE, SoakEnvironment } from './SoakEnvironment.js'
 
-/** A run. @public */
+/** Parameters of a run. @public */
 export interface SoakOptions {
   readonly seed: number
   readonly lengthMs: number
   readonly hosts: number
   readonly machinesPerService: number
-  /** The first so many kinds of faults; all by default. */
+  /** How many kinds of faults to draw from, in the order of `FAULTS`; all by default. */
   readonly kindCount?: number | undefined
 }
 
-/** What came of it. @public */
+/** Broken promises and counts of a run. @public */
 export interface SoakResult {
   readonly seed: number
   readonly broken: readonly BrokenPromise[]
@@ -33,16 +33,16 @@
   readonly runs: number
   readonly orders: number
   readonly probes: number
-  /** With logs and the history; removed when all was kept. */
+  /** Directory with logs and history; removed if no promise was broken. */
   readonly directory: string
 }
 
-/** The program is up and holds its duties after this. */
+/** Time until all processes serve and the duties are held. */
 const STARTUP_MS = 2500
-/** Longer than a lease of a run and a cut of the usual length: what was lost runs again. */
+/** Longer than a run's lease plus a typical network cut, so that lost tasks have been started again. */
 const SETTLE_MS = 25_000
 
-/** @param options - which run @returns what came of it @public */
+/** Runs the soak once and checks all promises. @param options - parameters of the run @returns broken promises and counts @public */
 export async function runSoak ({ seed, lengthMs, hosts, machinesPerService, kindCount }: SoakOptions): Promise<SoakResult> {
   const directory = mkdtempSync(join(tmpdir(), `soak-${seed}-`))
   const random = new SeededRandom(seed)
@@ -65,7 +65,7 @@
     runs: environment.fleet.runs,
     orders: environment.fleet.orders,
     overloads: environment.fleet.overloads,
-    // The last ends are the soak's own.
+    // The last exit of each host was caused by close().
     ends: environment.hosts.flatMap(({ ends }) => ends.slice(0, -1)),
     broken: callers.broken,
     probes: callers.probes,
--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * Plays seeds of the fault soak and reports broken promises.
+ * Command that runs the fault soak with given or random seeds and reports broken promises.
  *
  * @module
  */
@@ -13,11 +13,11 @@
   name: 'soak',
   description: 'Runs the real program under faults drawn from a seed, and checks its promises',
   args: {
-    seeds: option({ type: optional(string), long: 'seeds', description: 'Seeds to play, separated by commas; fresh ones otherwise' }),
-    count: option({ type: number, long: 'count', defaultValue: () => 1, description: 'How many fresh seeds' }),
-    seconds: option({ type: number, long: 'seconds', defaultValue: () => 15, description: 'How long faults come in each run' }),
-    hosts: option({ type: number, long: 'hosts', defaultValue: () => 4, description: 'Entry hosts, each a process' }),
-    machines: option({ type: number, long: 'machines', defaultValue: () => 5, description: 'Machines of each service' })
+    seeds: option({ type: optional(string), long: 'seeds', description: 'Seeds to run, separated by commas; random seeds if omitted' }),
+    count: option({ type: number, long: 'count', defaultValue: () => 1, description: 'Number of random seeds' }),
+    seconds: option({ type: number, long: 'seconds', defaultValue: () => 15, description: 'For how long faults are injected in each run, in seconds' }),
+    hosts: option({ type: number, long: 'hosts', defaultValue: () => 4, description: 'Number of entry hosts, each a process' }),
+    machines: option({ type: number, long: 'machines', defaultValue: () => 5, description: 'Number of machines of each service' })
   },
   handler: async ({ seeds, count, seconds, hosts, machines }) => {
     const chosen = seeds?.split(',').map(Number) ?? Array.from({ length: count }, () => Math.floor(Math.random() * SEED_RANGE))
--- a/packages/soak/src/skewedClock.ts
+++ b/packages/soak/src/skewedClock.ts
@@ -1,13 +1,13 @@
 /**
- * Loaded before the program: its time of day is off by a given amount, and jumps when a signal comes; after another signal its steady clock
- * leaves out the pause that follows, as on a host that is suspended.
+ * Replaces the clocks of a process; loaded before the program. The wall clock is offset by a given amount and steps on SIGUSR2. After SIGURG the
+ * monotonic clock leaves out the next pause of the process, as on a suspended host.
  *
  * @module
  */
 const STEP_MS = 2000
-/** The steady clock is read at least this often while the process runs. */
+/** Interval at which the monotonic clock is read while the process runs. */
 const SAMPLE_INTERVAL_MS = 5
-/** A longer time without a reading is the announced pause; the program never takes so long between two. */
+/** A gap between two readings of at least this length is the announced pause; the running program never leaves such a gap. */
 const MIN_PAUSE_MS = 150
 
 const realNow = Date.now.bind(Date)
--- a/packages/soak/src/test/checkPromises.test.ts
+++ b/packages/soak/src/test/checkPromises.test.ts
@@ -42,36 +42,36 @@
 describe('checkPromises', () => {
   const broken: ReadonlyArray<{ promise: string, how: string, seen: History }> = [
     { promise: 'an accepted job is kept', how: 'it is never done', seen: history({ jobs: [job({ finalState: 'queued' })] }) },
-    { promise: 'an accepted job is kept', how: 'nobody knows it', seen: history({ jobs: [job({ finalState: 'unknown' })] }) },
-    { promise: 'an accepted job is kept', how: 'it is cancelled unasked', seen: history({ jobs: [job({ finalState: 'cancelled' })] }) },
-    { promise: 'an accepted job is known', how: 'it is denied 4 s later', seen: history({ jobs: [job({ unknownAtMs: [4200] })] }) },
+    { promise: 'an accepted job is kept', how: 'no host knows it', seen: history({ jobs: [job({ finalState: 'unknown' })] }) },
+    { promise: 'an accepted job is kept', how: 'it is cancelled without a request', seen: history({ jobs: [job({ finalState: 'cancelled' })] }) },
+    { promise: 'an accepted job is known', how: 'a host does not know it 4 s later', seen: history({ jobs: [job({ unknownAtMs: [4200] })] }) },
     { promise: 'a refused job never runs', how: 'it runs', seen: history({ jobs: [job({ submitted: 'refused' })] }) },
-    { promise: 'nothing runs unasked', how: 'a task of no job runs', seen: history({ runs: [runOf(), runOf({ taskKey: 'b.0.0.0' })] }) },
-    { promise: 'no task runs twice', how: 'two runs at once', seen: history({ runs: [runOf(), runOf({ runNumber: 2, startedMs: 250, endedMs: 350 })] }) },
-    { promise: 'no task runs twice', how: 'a run after an end that was noted', seen: history({ runs: [runOf(), runOf({ runNumber: 2, startedMs: 400, endedMs: 500 })] }) },
+    { promise: 'nothing runs unasked', how: 'a task of an unknown job runs', seen: history({ runs: [runOf(), runOf({ taskKey: 'b.0.0.0' })] }) },
+    { promise: 'no task runs twice', how: 'two runs overlap', seen: history({ runs: [runOf(), runOf({ runNumber: 2, startedMs: 250, endedMs: 350 })] }) },
+    { promise: 'no task runs twice', how: 'a run follows an acknowledged end', seen: history({ runs: [runOf(), runOf({ runNumber: 2, startedMs: 400, endedMs: 500 })] }) },
     {
       promise: 'steps run in their order',
-      how: 'the second begins before the first is done',
+      how: 'the second starts before the first is complete',
       seen: history({ jobs: [job({ steps: twoSteps })], runs: [runOf(), runOf({ taskKey: 'a.0.1.0', startedMs: 290, endedMs: 400 })] })
     },
     { promise: 'a cancelled job ends', how: 'a task starts 4 s later', seen: history({ jobs: [job({ cancelAcknowledgedMs: 200, isCancelSent: true })], runs: [runOf({ startedMs: 4300, endedMs: 4400 })] }) },
-    { promise: 'a cancelled job ends', how: 'a task runs on', seen: history({ jobs: [job({ cancelAcknowledgedMs: 200, isCancelSent: true })], runs: [runOf({ endedMs: undefined, end: undefined })] }) },
+    { promise: 'a cancelled job ends', how: 'a task keeps running', seen: history({ jobs: [job({ cancelAcknowledgedMs: 200, isCancelSent: true })], runs: [runOf({ endedMs: undefined, end: undefined })] }) },
     {
       promise: 'no more lasting tasks away than allowed',
-      how: 'a stop while another one is away',
+      how: 'one is stopped while another is away',
       seen: history({ jobs: [lasting], runs: [runOf({ end: 'stopped', endedMs: 300 }), runOf({ taskKey: 'a.0.0.1', end: 'stopped', endedMs: 400 })] })
     },
-    { promise: 'one holder orders a machine', how: 'two within a second', seen: history({ orders: [order(), order({ holder: 'host-1', fencingToken: 6, atMs: 2000 })] }) },
-    { promise: 'one holder orders a machine', how: 'the older one comes later', seen: history({ orders: [order(), order({ holder: 'host-1', fencingToken: 4, atMs: 9000 })] }) },
-    { promise: 'waves are bounded', how: 'three are down', seen: history({ orders: [order({ inUpkeep: 3 })] }) },
+    { promise: 'one holder orders a machine', how: 'two do so within a second', seen: history({ orders: [order(), order({ holder: 'host-1', fencingToken: 6, atMs: 2000 })] }) },
+    { promise: 'one holder orders a machine', how: 'the one with the older token orders later', seen: history({ orders: [order(), order({ holder: 'host-1', fencingToken: 4, atMs: 9000 })] }) },
+    { promise: 'waves are bounded', how: 'three machines are down', seen: history({ orders: [order({ inUpkeep: 3 })] }) },
     { promise: 'a planned stop cuts nothing off', how: 'a request breaks after 500 ms', seen: history({ broken: [{ hostName: 'host-0', sentMs: 100, brokenMs: 600 }] }) },
-    { promise: 'processes end only when told', how: 'one ends by itself', seen: history({ ends: [{ hostName: 'host-0', signal: '', exitCode: 1, atMs: 100 }] }) },
-    { promise: 'processes end only when told', how: 'a stop fails', seen: history({ ends: [{ hostName: 'host-0', signal: 'SIGTERM', exitCode: 1, atMs: 100 }] }) },
-    { promise: 'keys hold', how: 'a key that was taken away is served', seen: history({ keyProbes: [{ hostName: 'host-0', sentMs: 1, mayHold: false, mustHold: false, status: 200 }] }) },
-    { promise: 'keys hold', how: 'a key in force is refused', seen: history({ keyProbes: [{ hostName: 'host-0', sentMs: 1, mayHold: true, mustHold: true, status: 401 }] }) },
+    { promise: 'processes end only when told', how: 'one exits without a signal', seen: history({ ends: [{ hostName: 'host-0', signal: '', exitCode: 1, atMs: 100 }] }) },
+    { promise: 'processes end only when told', how: 'a planned stop exits with 1', seen: history({ ends: [{ hostName: 'host-0', signal: 'SIGTERM', exitCode: 1, atMs: 100 }] }) },
+    { promise: 'keys hold', how: 'a revoked key is accepted', seen: history({ keyProbes: [{ hostName: 'host-0', sentMs: 1, mayHold: false, mustHold: false, status: 200 }] }) },
+    { promise: 'keys hold', how: 'a valid key is refused', seen: history({ keyProbes: [{ hostName: 'host-0', sentMs: 1, mayHold: true, mustHold: true, status: 401 }] }) },
     {
       promise: 'limits hold',
-      how: 'two tasks run of an account that may have one',
+      how: 'an account with a limit of one runs two tasks',
       seen: history({ jobs: [job({ account: 'press' })], runs: [runOf(), runOf({ taskKey: 'a.0.0.1', startedMs: 250, endedMs: 350 })] })
     },
     {
@@ -90,19 +90,19 @@
     },
     {
       promise: 'configuration holds and never goes back',
-      how: 'a queue in force is denied',
+      how: 'a configured queue is not found',
       seen: history({ probes: [{ hostName: 'host-0', sentMs: 100, mayExist: true, mayBeMissing: false, status: 404 }] })
     },
     {
       promise: 'a task that crashes workers is given up',
-      how: 'it is started three times more',
+      how: 'it is started three more times',
       seen: history({ jobs: [job({ crashesWorkers: true, finalState: 'failed' })], runs: [1, 2, 3, 4, 5, 6].map((runNumber) => runOf({ runNumber, startedMs: runNumber * 100, endedMs: runNumber * 100 + 10, end: undefined })) })
     },
-    { promise: 'no worker is overloaded', how: 'it shrank 5 s ago', seen: history({ overloads: [{ machineId: 'm', atMs: 6000, shrunkMs: 1000 }] }) }
+    { promise: 'no worker is overloaded', how: 'its capacity was reduced 5 s ago', seen: history({ overloads: [{ machineId: 'm', atMs: 6000, shrunkMs: 1000 }] }) }
   ]
   for (const { promise, how, seen } of broken) {
     it(`catches "${promise}" when ${how}`, () => {
-      expect(checkPromises(seen).map((found) => found.promise)).to.deep.equal([promise])
+      expect(checkPromises(seen).map((violation) => violation.promise)).to.deep.equal([promise])
     })
   }
 
@@ -111,12 +111,12 @@
   })
 
   const kept: ReadonlyArray<{ name: string, seen: History }> = [
-    { name: 'a job that is done', seen: history() },
-    { name: 'a run lost with its worker and run again', seen: history({ runs: [runOf({ end: undefined, isAcknowledged: false }), runOf({ runNumber: 2, startedMs: 300, endedMs: 400 })] }) },
-    { name: 'a job of which nobody knows whether it was taken', seen: history({ jobs: [job({ submitted: 'unknown', finalState: '' })] }) },
-    { name: 'a holder that follows another after 4 s', seen: history({ orders: [order(), order({ holder: 'host-1', fencingToken: 6, atMs: 5000 })] }) },
+    { name: 'a completed job', seen: history() },
+    { name: 'a run that is lost with its worker and repeated', seen: history({ runs: [runOf({ end: undefined, isAcknowledged: false }), runOf({ runNumber: 2, startedMs: 300, endedMs: 400 })] }) },
+    { name: 'a job whose submission has an unknown outcome', seen: history({ jobs: [job({ submitted: 'unknown', finalState: '' })] }) },
+    { name: 'a new holder that orders 4 s after the previous one', seen: history({ orders: [order(), order({ holder: 'host-1', fencingToken: 6, atMs: 5000 })] }) },
     {
-      name: 'a lasting task moved once the other is back',
+      name: 'a lasting task that moves once the other one is back',
       seen: history({
         jobs: [lasting],
         runs: [
--- a/packages/soak/src/test/soak.test.ts
+++ b/packages/soak/src/test/soak.test.ts
@@ -5,13 +5,13 @@
 const HOSTS = 4
 const MACHINES_PER_SERVICE = 5
 const MS_PER_S = 1000
-/** Beside the faults: start, settling, and a busy machine. */
+/** Time for startup, settling, and a busy machine, in addition to the faults. */
 const EXTRA_MS = 60_000
 
 describe('fault soak', () => {
   const cases = [
-    { seed: 20_261_202, seconds: 6, cause: 'a short run of its own', kindCount: 22 },
-    { seed: 20_261_203, seconds: 10, cause: 'another, with all kinds of faults', kindCount: undefined },
+    { seed: 20_261_202, seconds: 6, cause: 'a short run with 22 kinds of faults', kindCount: 22 },
+    { seed: 20_261_203, seconds: 10, cause: 'a longer run with all kinds of faults', kindCount: undefined },
     ...FAILED_SEEDS
   ]
   for (const { seed, seconds, cause, kindCount } of cases) {
