--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Small stand-ins for the platform, its hosts and the targets.
+ * Lightweight stand-ins for the platform, its hosts, workers and the targets.
  *
  * @module
  */
--- a/packages/standins/src/lib/StandInNetwork.ts
+++ b/packages/standins/src/lib/StandInNetwork.ts
@@ -1,31 +1,36 @@
 /**
- * A stand-in for the network between entry hosts: relays their links, and cuts them between zones.
+ * A stand-in for the network between entry hosts: relays their connections, and partitions availability zones.
  *
  * @module
  */
 import { connect, createServer, type Server, type Socket } from 'node:net'
 
-/** One entry host's node in the network. @public */
+/** An entry host as a node of the network. @public */
 export interface NetworkNode {
   readonly availabilityZone: string
-  /** Own IP number, from which it also dials. */
+  /** The host's own IP address, which it also connects from. */
   readonly address: string
-  /** Where it listens. */
+  /** The port on which it listens. */
   readonly port: number
-  /** Where others reach it. */
+  /** The port of the relay through which others reach it. */
   readonly relayPort: number
 }
 
 interface RelayedConnection { readonly zones: readonly [string, string], readonly sockets: readonly [Socket, Socket] }
 
-/** The network. A cut swallows what is sent, as a failed switch does; healing breaks the old connections. @public */
+/**
+ * Relays connections between nodes. A cut holds back all data without closing connections, as a failed switch does; healing closes the connections
+ * that were cut.
+ *
+ * @public
+ */
 export class StandInNetwork {
   readonly #zoneOf = new Map<string, string>()
   readonly #connections = new Set<RelayedConnection>()
   readonly #servers: Server[] = []
   readonly #cutZones = new Set<string>()
 
-  /** @param node - an entry host that joins */
+  /** Starts a relay for a node. @param node - the entry host that joins */
   async add (node: NetworkNode): Promise<void> {
     this.#zoneOf.set(node.address, node.availabilityZone)
     const server = createServer((inbound) => this.#relay(inbound, node))
@@ -36,20 +41,20 @@
     })
   }
 
-  /** @param availabilityZone - cut off from all others */
+  /** Cuts a zone off from all others. @param availabilityZone - the zone */
   cut (availabilityZone: string): void {
     this.#cutZones.add(availabilityZone)
     for (const { zones, sockets } of this.#connections) if (this.#isCut(zones)) for (const socket of sockets) socket.pause()
   }
 
-  /** @param availabilityZone - joined to the others again */
+  /** Ends the cut of a zone. @param availabilityZone - the zone */
   heal (availabilityZone: string): void {
     const broken = [...this.#connections].filter(({ zones }) => this.#isCut(zones))
     this.#cutZones.delete(availabilityZone)
     for (const { sockets } of broken) for (const socket of sockets) socket.destroy()
   }
 
-  /** Ends everything. */
+  /** Stops all relays and closes all connections. */
   close (): void {
     for (const server of this.#servers) server.close()
     for (const { sockets } of this.#connections) for (const socket of sockets) socket.destroy()
--- a/packages/standins/src/lib/StandInPlatform.ts
+++ b/packages/standins/src/lib/StandInPlatform.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in for the platform's service over HTTP, with a port for each availability zone so that one can be cut off.
+ * A stand-in for the platform's HTTP service, with a port for each availability zone so that single zones can be cut off.
  *
  * @module
  */
@@ -9,14 +9,14 @@
 import type { PlatformError } from '@quillscale/ports'
 import { MemoryKeyValueStore, type MemoryHosts, type StoreSnapshot } from '@quillscale/platform-memory'
 
-/** How the platform misbehaves. @public */
+/** The faults that the platform shows. @public */
 export interface PlatformFaults {
-  /** Connections are refused with 503. */
+  /** Whether all calls are answered with 503. */
   isDown: boolean
   latencyMs: number
-  /** This share of writes takes effect and is not answered. */
+  /** Share of writes that take effect but get no answer. */
   loseAnswerShare: number
-  /** Zones whose calls are not answered at all. */
+  /** Zones whose calls get no answer. */
   readonly cutZones: Set<string>
 }
 
@@ -40,7 +40,7 @@
 const toWire = (item: { key: string, value: string | undefined, modRevision: number }): unknown =>
   ({ key: encode(item.key), value: encode(item.value ?? ''), mod_revision: item.modRevision })
 
-/** The platform. @public */
+/** Serves the store, leases and the list of hosts, and injects faults. @public */
 export class StandInPlatform {
   readonly faults: PlatformFaults = { isDown: false, latencyMs: 1, loseAnswerShare: 0, cutZones: new Set() }
   readonly calls = new Map<string, number>()
@@ -52,8 +52,8 @@
   #backup: StoreSnapshot = []
 
   /**
-   * @param hosts - the list and its control
-   * @param random - decides which answers are lost
+   * @param hosts - the hosts to list and control
+   * @param random - draws which answers are lost
    */
   constructor (hosts: MemoryHosts, random: SeededRandom) {
     this.#hosts = hosts
@@ -61,7 +61,7 @@
     this.#handlers = this.#createHandlers()
   }
 
-  /** @param availabilityZone - whose calls arrive there @param port - where to listen */
+  /** Listens for the calls of one zone. @param availabilityZone - the zone @param port - the port to listen on */
   async listen (availabilityZone: string, port: number): Promise<void> {
     const server = createServer((request, response) => { void this.#answer(availabilityZone, request, response) })
     server.keepAliveTimeout = 60_000
@@ -72,17 +72,17 @@
     })
   }
 
-  /** Keeps a copy of the store, for {@link restore}. */
+  /** Takes a snapshot of the store for {@link restore}. */
   backUp (): void {
     this.#backup = this.store.snapshot()
   }
 
-  /** Puts the kept copy in place of the store's content. */
+  /** Replaces the store's content by the snapshot of {@link backUp}. */
   restore (): void {
     this.store.restore(this.#backup)
   }
 
-  /** Stops listening. */
+  /** Stops listening and closes all connections. */
   close (): void {
     for (const server of this.#servers) {
       server.close()
--- a/packages/standins/src/lib/StandInRuns.ts
+++ b/packages/standins/src/lib/StandInRuns.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-ins of workers that run tasks under leases and fencing tokens, with the faults that real ones show, and a record of
- * everything that ran for checks of the promises.
+ * Stand-ins of workers that run tasks under leases and fencing tokens. They inject the faults of real workers, and record every run so that tests can
+ * check the promises.
  *
  * @module
  */
@@ -10,91 +10,91 @@
   type RunReport, type RunStart, type WorkerCapacity, type WorkerInstance
 } from '@quillscale/ports'
 
-/** What a task is told to do; sent as JSON in the command. @public */
+/** Instructions for a task, sent as JSON in its command. @public */
 export interface StandInCommand {
-  /** How long it runs; 0 for as long as it is let. */
+  /** Duration of a run; 0 for a run that lasts until it is stopped. */
   readonly runMs: number
-  /** Every run fails. */
+  /** Whether every run fails. */
   readonly fails?: boolean
-  /** Every run ends its worker, so long after its start. */
+  /** Every run crashes its worker this long after its start. */
   readonly crashesAfterMs?: number
-  /** Only runs of the task of this index within its step do; all do without it. */
+  /** Limits the crashes to the task with this index within its step; without it all tasks crash their workers. */
   readonly crashingIndex?: number
 }
 
-/** One run as it really went. @public */
+/** What a worker actually did in one run. @public */
 export interface RunRecord extends RunRef {
   readonly instanceId: string
   readonly command: string
   readonly startedMs: number
   endedMs: number | undefined
   end: RunEnd | undefined
-  /** Of an end `done`: the scheduler was told, and acknowledged it before the worker's lease lapsed; only then it must not run again. */
+  /** Whether the scheduler acknowledged the end of the run before the worker's lease expired. A task with an acknowledged end `done` must not run again. */
   isAcknowledged: boolean
 }
 
-/** How a worker misbehaves. @public */
+/** The faults that a worker shows. @public */
 export interface WorkerFaults {
-  /** Calls get no answer and have no effect. */
+  /** Whether calls get no answer and have no effect. */
   isSilent: boolean
-  /** Calls are carried out, and not answered. */
+  /** Whether calls are carried out but get no answer. */
   losesAnswers: boolean
-  /** Every run fails at once. */
+  /** Whether runs that reach their end report `failed`. */
   failsAll: boolean
-  /** Starts are carried out this much later, and not answered. */
+  /** Delay with which starts are carried out; delayed starts get no answer. */
   startsLateMs: number
 }
 
 interface ActiveRun { readonly record: RunRecord, readonly capacity: WorkerCapacity, readonly endsAtMs: number, readonly percentOf: (nowMs: number) => number }
 
-/** An answer that never comes, as a client sees it after its time limit. */
+/** The error that a client reports for a missing answer after its timeout. */
 const LOST_ANSWER: RunOrderError = { kind: 'unknown-effect', detail: 'no answer' }
 const LOST_ANSWER_DELAY_MS = 30
 const MAX_ENDS_LISTED = 500
 const MAX_WAIT_MS = 2000
-/** Lasting tasks are at work this long after their start. */
+/** Time after its start at which a lasting task reports 100 percent, which means that it is ready. */
 const READY_AFTER_MS = 20
 const DEFAULT_TASK_SIZE: WorkerCapacity = { cpuMillis: 1000, memoryMb: 100, gpus: 0 }
 
-/** One lifetime of a worker. @public */
+/** Runs and records the tasks of one lifetime of a worker. @public */
 export class StandInWorker {
   readonly faults: WorkerFaults = { isSilent: false, losesAnswers: false, failsAll: false, startsLateMs: 0 }
   readonly active = new Map<string, ActiveRun>()
   readonly records: RunRecord[] = []
-  /** Called when a run has ended this lifetime. */
+  /** Called when a run has crashed this worker. */
   onCrash: (worker: StandInWorker) => void = () => {}
-  /** How long a hold takes to be answered, besides what it waits for. */
+  /** Delay of the answer to a hold, in addition to the time that the hold waits. */
   holdDelayMs = 0
-  /** How long a run that is stopped goes on. */
+  /** Time that a run takes to end after a stop. */
   stopDelayMs = 0
-  /** Stops that were taken in. */
+  /** How many stops were accepted. */
   acceptedStopCount = 0
-  /** What it has now; it says so where it registers itself, some time later. */
+  /** The current capacity; its registration shows a change only some time later. */
   capacity: WorkerCapacity
-  /** Whether it refuses what does not fit, rather than starting it. */
+  /** Whether it refuses a task beyond its capacity instead of starting it. */
   refusesOverload = true
-  /** How far its steady clock is ahead of the others'. */
+  /** How far its monotonic clock is ahead of that of the others. */
   clockShiftMs = 0
-  /** When it was told to start what did not fit. */
+  /** Times at which it was ordered to start a task beyond its capacity. */
   readonly overloadTimesMs: number[] = []
-  /** Called each time that happens. */
+  /** Called at each such order. */
   onOverload: (atMs: number) => void = () => {}
   #fencingToken = 0
   #sequence = 0
   #ends: Array<EndReport & { readonly record: RunRecord }> = []
-  /** Ends that were listed when the lease lapsed: acknowledging them later tells nothing. */
+  /** Ends that were unacknowledged when the lease expired; a later acknowledgement of them does not count. */
   readonly #lapsedEnds = new Set<EndReport>()
   #lastClosedRuns = new Map<string, number>()
   #leaseEndsAtMs = 0
   #hasEnded = false
   #waiters = new Set<() => void>()
 
-  /** @param instance - as it registers itself @param clock - its own steady clock @param sizeOf - what a task takes */
+  /** @param instance - its registration @param clock - its monotonic clock @param sizeOf - returns the resources that a task needs */
   constructor (readonly instance: WorkerInstance, readonly clock: Clock, readonly sizeOf: (taskKey: string) => WorkerCapacity) {
     this.capacity = instance.capacity
   }
 
-  /** Everything that runs there dies, and nothing answers any more. */
+  /** Ends the lifetime: all runs end, and further calls are refused. */
   crash (): void {
     if (this.#hasEnded) return
     this.#hasEnded = true
@@ -103,12 +103,18 @@
     for (const wake of this.#waiters) wake()
   }
 
-  /** Whether it has ended. */
+  /** Whether this lifetime has ended. */
   get hasEnded (): boolean {
     return this.#hasEnded
   }
 
-  /** @param expectedInstanceId - whom the caller means @param act - what is asked @returns its result, or what became of the call */
+  /**
+   * Carries out a call, subject to the current faults.
+   *
+   * @param expectedInstanceId - the instance that the caller expects at this address
+   * @param act - carries out the call
+   * @returns the result of `act`, or the error that the caller sees
+   */
   async call<T> (expectedInstanceId: string, act: () => Result<T, RunOrderError> | Promise<Result<T, RunOrderError>>): Promise<Result<T, RunOrderError>> {
     if (this.#hasEnded) return Err({ kind: 'unhealthy', detail: 'connection refused' })
     if (workerIdOf(expectedInstanceId) !== workerIdOf(this.instance.instanceId)) return Err({ kind: 'other-instance', detail: 'another lifetime' })
@@ -124,7 +130,7 @@
     return Err(LOST_ANSWER)
   }
 
-  /** Ends what is over by now. */
+  /** Ends runs that are complete or whose lease has expired. */
   step (): void {
     const nowMs = this.clock.monotonicMs()
     if (nowMs >= this.#leaseEndsAtMs) for (const end of this.#ends) this.#lapsedEnds.add(end)
@@ -134,7 +140,7 @@
     }
   }
 
-  /** @param order - a start @returns the clock */
+  /** Starts a run. @param order - the run to start @returns the worker's clock */
   start (order: RunStart): Result<number, RunOrderError> {
     if (!this.#acceptsToken(order.fencingToken)) return Err({ kind: 'fenced-off', detail: 'a newer token was seen' })
     if (this.active.has(runKeyOf(order))) return Ok(this.#clockMs())
@@ -173,7 +179,7 @@
     return Ok(this.#clockMs())
   }
 
-  /** @param run - to be stopped @param fencingToken - of the caller @returns the clock */
+  /** Stops a run. @param run - the run to stop @param fencingToken - token of the caller @returns the worker's clock */
   stop (run: RunRef, fencingToken: number): Result<number, RunOrderError> {
     if (!this.#acceptsToken(fencingToken)) return Err({ kind: 'fenced-off', detail: 'a newer token was seen' })
     this.acceptedStopCount++
@@ -184,7 +190,7 @@
     return Ok(this.#clockMs())
   }
 
-  /** @param request - a hold @returns both lists */
+  /** Renews the lease and waits for ends of runs. @param request - the hold @returns the runs in progress and the unacknowledged ends */
   async hold (request: HoldRequest): Promise<Result<HoldReport, RunOrderError>> {
     if (!this.#acceptsToken(request.fencingToken)) return Err({ kind: 'fenced-off', detail: 'a newer token was seen' })
     if (this.holdDelayMs > 0) await delay(this.holdDelayMs)
@@ -226,7 +232,7 @@
     return used + wanted.cpuMillis <= this.capacity.cpuMillis
   }
 
-  /** A lease ends when it ends, however late that is noticed here. */
+  /** Records the end of a run. For an expired lease `endedMs` is its expiry, which may be noticed later. */
   #end (run: ActiveRun, end: RunEnd, endedMs = this.clock.monotonicMs()): void {
     const { record } = run
     this.active.delete(runKeyOf(record))
@@ -258,23 +264,23 @@
 const runKeyOf = (run: RunRef): string => `${run.taskKey}#${run.runNumber}`
 const isFailing = (record: RunRecord): boolean => (JSON.parse(record.command) as StandInCommand).fails === true
 
-/** Orders to stand-in workers. @public */
+/** Delivers orders to stand-in workers in the same process. @public */
 export class StandInRuns implements RunOrders {
   readonly workers = new Map<string, StandInWorker>()
-  /** Called when a run has ended its worker's lifetime. */
+  /** Called when a run has crashed its worker. */
   onCrash: (worker: StandInWorker) => void = () => {}
-  /** Workers by address: a new lifetime takes the place of the former. */
+  /** Workers by address; a new lifetime replaces the previous one. */
   readonly #workersByAddress = new Map<string, StandInWorker>()
   readonly #clock: Clock
   readonly #sizeOf: (taskKey: string) => WorkerCapacity
 
-  /** @param clock - that all workers share @param sizeOf - what a task takes */
+  /** @param clock - the clock that all workers share @param sizeOf - returns the resources that a task needs */
   constructor (clock: Clock, sizeOf: (taskKey: string) => WorkerCapacity = () => DEFAULT_TASK_SIZE) {
     this.#clock = clock
     this.#sizeOf = sizeOf
   }
 
-  /** @param instance - of a new lifetime @returns the worker */
+  /** Adds a new lifetime of a worker. @param instance - its registration @returns the worker */
   add (instance: WorkerInstance): StandInWorker {
     const worker = new StandInWorker(instance, this.#clock, this.#sizeOf)
     worker.onCrash = (crashed) => this.onCrash(crashed)
@@ -283,7 +289,7 @@
     return worker
   }
 
-  /** Everything that ever ran. */
+  /** The records of all runs so far. */
   get records (): RunRecord[] {
     return [...this.workers.values()].flatMap(({ records }) => records)
   }
@@ -292,7 +298,7 @@
     const at = this.#workerAt(worker)
     const lateMs = at.faults.startsLateMs
     if (lateMs === 0) return await at.call(worker.instanceId, () => at.start(order))
-    // Whoever is at that address by then carries it out.
+    // The worker that has this address by then carries it out.
     setTimeout(() => { void this.#workerAt(worker).call(worker.instanceId, () => this.#workerAt(worker).start(order)) }, lateMs).unref()
     await delay(LOST_ANSWER_DELAY_MS)
     return Err(LOST_ANSWER)
@@ -314,7 +320,7 @@
   }
 
   releaseConnections (): void {
-    // Nothing is kept open.
+    // There are no connections to close.
   }
 
   #workerAt (worker: WorkerInstance): StandInWorker {
--- a/packages/standins/src/lib/StandInTarget.ts
+++ b/packages/standins/src/lib/StandInTarget.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in for one target: runs requests in slots, counts every run, and misbehaves when told to.
+ * A stand-in for one target: runs requests in slots, counts every run, and injects faults.
  *
  * @module
  */
@@ -8,44 +8,44 @@
 import { delay, type SeededRandom } from '@quillscale/utils'
 import { StandInTasks } from './StandInTasks.js'
 
-/** How a target misbehaves. @public */
+/** The faults that a target shows. @public */
 export interface TargetFaults {
-  /** Multiplies the time of its work. */
+  /** Factor by which work takes longer. */
   slowFactor: number
-  /** Answers everything with 500, at once. */
+  /** Answers every request with 500 without delay. */
   failsAll: boolean
-  /** Breaks off in the middle of this share of answers. */
+  /** Share of answers that break off in the middle. */
   truncateShare: number
-  /** Answers this share of requests with the id and body of an earlier one. */
+  /** Share of requests that are answered with the id and body of an earlier request. */
   crossShare: number
-  /** Sends this share of answers this late. */
+  /** Share of answers that are delayed by `lateMs`. */
   lateShare: number
   lateMs: number
-  /** Ends this share of answers with its connection, without length or chunks. */
+  /** Share of answers that have neither a length nor chunks and end by closing the connection. */
   closeDelimitedShare: number
 }
 
-/** No misbehaviour. @public */
+/** Faults of a target that works correctly. @public */
 export const NO_FAULTS: Readonly<TargetFaults> = {
   slowFactor: 1, failsAll: false, truncateShare: 0, crossShare: 0, lateShare: 0, lateMs: 2000, closeDelimitedShare: 0
 }
 
-/** What a target is like. @public */
+/** Options of a {@link StandInTarget}. @public */
 export interface StandInTargetOptions {
   readonly hostId: string
   readonly address: string
   readonly port: number
   readonly slots: number
-  /** The mean of its work, unless a request asks for another by `x-work-ms`. */
+  /** Mean duration of a request, unless the request sets it with `x-work-ms`. */
   readonly workMs: number
   readonly random: SeededRandom
-  /** Called for each run with the caller's id of the request. */
+  /** Called for each run with the id that the caller gave the request. */
   readonly onRun: (callId: string, hostId: string) => void
 }
 
 const FILLER_TEXT = 'x'.repeat(400)
 
-/** One target. @public */
+/** HTTP server of one target. @public */
 export class StandInTarget {
   readonly faults: TargetFaults = { ...NO_FAULTS }
   readonly tasks: StandInTasks
@@ -59,13 +59,13 @@
   #server: Server | undefined
   #previous: { requestId: string, body: string } | undefined
 
-  /** @param options - what it is like */
+  /** @param options - address, slots and speed */
   constructor (options: StandInTargetOptions) {
     this.#options = options
     this.tasks = new StandInTasks((jobId) => options.onRun(jobId, options.hostId))
   }
 
-  /** Starts to listen. */
+  /** Starts listening. */
   async up (): Promise<void> {
     if (this.#server !== undefined) return
     const server = createServer((request, response) => { void this.#answer(request, response) })
@@ -81,7 +81,7 @@
     })
   }
 
-  /** Stops at once and cuts what it runs. */
+  /** Stops at once, aborting the requests and tasks in progress. */
   down (): void {
     this.#server?.close()
     this.#server = undefined
@@ -116,7 +116,7 @@
     response.end(JSON.stringify(this.tasks.answer(call, JSON.parse(body.toString()) as Record<string, unknown>)))
   }
 
-  /** A refusal of its own: the request was not run. */
+  /** Refuses a request, and states that it was not run. */
   #refuse (request: IncomingMessage, response: ServerResponse, requestId: string): void {
     this.refusals++
     request.resume()
--- a/packages/standins/src/lib/StandInTasks.ts
+++ b/packages/standins/src/lib/StandInTasks.ts
@@ -1,35 +1,35 @@
 /**
- * A stand-in for the tasks of one worker: leases, usage with a lag, checkpoints, failures.
+ * A stand-in for the tasks of one worker, with leases, slot usage, checkpoints and failures.
  *
  * @module
  */
 
 interface StandInTask { leaseUntilMs: number, endsMs: number, uses: number, isFailing: boolean, startedMs: number }
-/** What a command may ask of the stand-in, as JSON. */
+/** Instructions for the stand-in, sent as JSON in a task's command. */
 interface Command { workMs?: number, uses?: number, fails?: boolean }
 
-/** The tasks of one worker. @public */
+/** Runs the tasks of one worker. @public */
 export class StandInTasks {
   readonly #tasks = new Map<string, StandInTask>()
   readonly #onRun: (jobId: string) => void
-  /** Everything it starts fails. */
+  /** Whether all tasks that are started fail. */
   failsAll = false
 
-  /** @param onRun - called with the job's id for each run */
+  /** @param onRun - called with the job's id at each start of a task */
   constructor (onRun: (jobId: string) => void) {
     this.#onRun = onRun
   }
 
-  /** Forgets everything, as a host that went down. */
+  /** Removes all tasks, as when the host goes down. */
   clear (): void {
     this.#tasks.clear()
   }
 
   /**
-   * Obeys one call.
+   * Carries out a call.
    *
    * @param call - `start`, `renew` or `stop`
-   * @param body - its arguments
+   * @param body - the arguments of the call
    * @returns the answer
    */
   answer (call: string, body: Record<string, unknown>): unknown {
--- a/packages/standins/src/lib/StandIns.ts
+++ b/packages/standins/src/lib/StandIns.ts
@@ -1,5 +1,5 @@
 /**
- * All stand-ins of one deployment in one process, with a control interface.
+ * All stand-ins of one deployment in one process, with an HTTP interface to control them.
  *
  * @module
  */
@@ -12,11 +12,11 @@
 import { StandInPlatform } from './StandInPlatform.js'
 import { StandInTarget, type TargetFaults } from './StandInTarget.js'
 
-/** What is started, and how it behaves at first. @public */
+/** Options of {@link StandIns}. @public */
 export interface StandInsOptions {
   readonly deployment: Deployment
   readonly seed: number
-  /** The control interface; platform ports follow, one for each zone, then the targets from `firstPort + 100`. */
+  /** Port of the control interface. The platform's ports follow, one for each zone; the targets' ports begin at `firstPort + 100`. */
   readonly firstPort: number
   readonly rebootMs: number
   readonly listLagMs: number
@@ -26,21 +26,21 @@
   readonly entryHosts?: ReadonlyArray<{ readonly entryHostId: string, readonly availabilityZone: string }>
 }
 
-/** What was counted. @public */
+/** Counts of calls and runs. @public */
 export interface StandInCounts {
   readonly platformCalls: Record<string, number>
-  /** Ids of calls that ran more often than once, with the hosts. */
+  /** Ids of calls that ran more than once, with the hosts that ran them. */
   readonly ranTwice: Record<string, string[]>
   readonly runs: number
   readonly refusals: number
-  /** Requests run by each host. */
+  /** Number of requests that each host ran. */
   readonly runsByHost: Record<string, number>
   readonly hosts: readonly ListedHost[]
 }
 
 const TARGET_PORT_OFFSET = 100
 
-/** The stand-ins. @public */
+/** Starts, controls and stops the stand-ins of a deployment. @public */
 export class StandIns {
   readonly platform: StandInPlatform
   readonly hosts: MemoryHosts
@@ -49,7 +49,7 @@
   readonly #options: StandInsOptions
   readonly #controlServer: Server
 
-  /** @param options - what is started */
+  /** @param options - the deployment, ports and host behaviour */
   constructor (options: StandInsOptions) {
     this.#options = options
     const random = new SeededRandom(options.seed)
@@ -84,7 +84,7 @@
     this.#controlServer = createServer((request, response) => { void this.#answerControl(request, response) })
   }
 
-  /** Starts everything. */
+  /** Starts the targets, the platform and the control interface. */
   async start (): Promise<void> {
     const { firstPort, deployment } = this.#options
     await Promise.all([...this.targets.values()].map((target) => target.up()))
@@ -92,7 +92,7 @@
     await new Promise<void>((resolve) => this.#controlServer.listen(firstPort, '127.0.0.1', resolve))
   }
 
-  /** Stops everything. */
+  /** Stops all stand-ins and the control interface. */
   close (): void {
     this.#controlServer.close()
     this.#controlServer.closeAllConnections()
@@ -100,7 +100,7 @@
     for (const target of this.targets.values()) target.down()
   }
 
-  /** @returns what was counted so far */
+  /** @returns the counts so far */
   counts (): StandInCounts {
     const targets = [...this.targets]
     return {
@@ -113,16 +113,16 @@
     }
   }
 
-  /** @param callId - a caller's id @returns the hosts that ran it */
+  /** @param callId - the id that the caller gave a call @returns the hosts that ran it, one entry for each run */
   runsOf (callId: string): readonly string[] {
     return this.#hostsByCall.get(callId) ?? []
   }
 
   /**
-   * Obeys one order of the control interface.
+   * Carries out an order of the control interface.
    *
-   * @param order - such as `platform` or `host`
-   * @param body - its arguments
+   * @param order - name of the order, such as `platform` or `host`
+   * @param body - the arguments of the order
    * @returns the answer
    */
   control (order: string, body: Record<string, unknown>): unknown {
--- a/packages/standins/src/lib/deployments.ts
+++ b/packages/standins/src/lib/deployments.ts
@@ -1,21 +1,21 @@
 /**
- * The two deployments of today: their zones, services and hosts.
+ * Predefined deployments for tests and benchmarks: their zones, services and hosts.
  *
  * @module
  */
 import { createAvailabilityZone, createHostId } from '@quillscale/model'
 import type { ListedHost } from '@quillscale/ports'
 
-/** One service of a deployment. @public */
+/** A service of a deployment. @public */
 export interface DeployedService {
   readonly name: string
   readonly hostname: string
-  /** The mean time of its work, in the stand-ins. */
+  /** Mean duration of a request in the stand-ins. */
   readonly workMs: number
   readonly tenants: readonly string[]
 }
 
-/** A deployment. @public */
+/** Zones, services and numbers of hosts of a deployment. @public */
 export interface Deployment {
   readonly name: string
   readonly availabilityZones: readonly string[]
@@ -55,7 +55,7 @@
   spareHosts: 4
 }
 
-/** One zone with one service, for measurements. */
+/** One zone with one service, for benchmarks. */
 const BENCH: Deployment = {
   name: 'bench',
   availabilityZones: ['z1'],
@@ -69,15 +69,15 @@
 /** The deployments by name. @public */
 export const DEPLOYMENTS: Readonly<Record<string, Deployment>> = { korsord: KORSORD, strandbook: STRANDBOOK, bench: BENCH }
 
-/** A host of a deployment and the service it is labelled for. @public */
+/** A host of a deployment, and the service that it serves, or `spare`. @public */
 export interface DeployedHost { readonly listed: ListedHost, readonly use: string }
 
 /**
- * Lists a deployment's worker hosts, each service spread evenly over the zones, four to a rack.
+ * Lists a deployment's worker hosts, with each service spread evenly over the zones and `hostsPerRack` hosts in a rack.
  *
- * @param deployment - which
- * @param firstPort - the port of the first; the others follow
- * @returns its hosts
+ * @param deployment - the deployment
+ * @param firstPort - port of the first host; the other hosts use the ports after it
+ * @returns the worker hosts
  * @public
  */
 export function deployHosts (deployment: Deployment, firstPort: number): DeployedHost[] {
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * Starts the stand-ins of one deployment, to try faults by hand.
+ * Command that starts the stand-ins of one deployment, to try faults by hand.
  *
  * @module
  */
@@ -11,7 +11,7 @@
   name: 'standins',
   description: `Stand-ins for the platform, hosts and targets, on loopback.
 Control them with POST /control/ORDER at the first port, JSON in the body:
-  counts    {}                                               what was counted
+  counts    {}                                               counts of calls and runs
   platform  {"isDown":true,"latencyMs":50,"loseAnswerShare":0.3}
   cut       {"availabilityZone":"west-a","isCut":true}       the platform no longer answers this zone
   store     {"action":"back-up"} then {"action":"restore"}   a store restored from an older copy
@@ -19,13 +19,13 @@
   host      {"hostId":"west-a-w00","state":"gone"}           or "live", "leaving"
   runs      {"callId":"..."}                                 the hosts that ran the call`,
   args: {
-    deployment: option({ type: oneOf(Object.keys(DEPLOYMENTS)), long: 'deployment', defaultValue: () => 'korsord', description: 'which hosts and services' }),
-    seed: option({ type: number, long: 'seed', defaultValue: () => 1, description: 'of all random numbers' }),
-    firstPort: option({ type: number, long: 'first-port', defaultValue: () => 21000, description: 'control; the platform of each zone and the targets follow' }),
-    rebootMs: option({ type: number, long: 'reboot-ms', defaultValue: () => 2000, description: 'how long a reboot takes' }),
-    listLagMs: option({ type: number, long: 'list-lag-ms', defaultValue: () => 500, description: 'how old the list of hosts is' }),
+    deployment: option({ type: oneOf(Object.keys(DEPLOYMENTS)), long: 'deployment', defaultValue: () => 'korsord', description: 'the deployment that defines hosts and services' }),
+    seed: option({ type: number, long: 'seed', defaultValue: () => 1, description: 'seed of all random numbers' }),
+    firstPort: option({ type: number, long: 'first-port', defaultValue: () => 21000, description: 'port of the control interface; the ports of the platform, one for each zone, and of the targets follow' }),
+    rebootMs: option({ type: number, long: 'reboot-ms', defaultValue: () => 2000, description: 'duration of a reboot' }),
+    listLagMs: option({ type: number, long: 'list-lag-ms', defaultValue: () => 500, description: 'lag of the list of hosts' }),
     brokenHosts: multioption({ type: array(string), long: 'broken-host', description: 'a host that does not come back from a reboot' }),
-    entryHosts: multioption({ type: array(string), long: 'entry-host', description: 'NAME@ZONE of an entry host that the platform lists' })
+    entryHosts: multioption({ type: array(string), long: 'entry-host', description: 'an entry host that the platform lists, as NAME@ZONE' })
   },
   handler: async (args) => {
     const deployment = DEPLOYMENTS[args.deployment]
