--- a/packages/soak/src/lib/EntryProcess.ts
+++ b/packages/soak/src/lib/EntryProcess.ts
@@ -26,7 +26,7 @@
   readonly ends: ProcessEnd[] = []
   /** Start of the planned stop in progress, on the monotonic clock. */
   stoppingSinceMs: number | undefined
-  /** Time of the last disturbance other than a planned stop. */
+  /** Time of the last disturbance other than a planned stop; `Infinity` while the link to the store is disturbed. */
   lastDisturbedMs = -Infinity
   isFrozen = false
   readonly #directory: string
--- a/packages/standins/src/lib/StandInRuns.ts
+++ b/packages/standins/src/lib/StandInRuns.ts
@@ -320,7 +320,7 @@
   }
 
   releaseConnections (): void {
-    // There are no connections to close.
+    // Nothing is kept open.
   }
 
   #workerAt (worker: WorkerInstance): StandInWorker {
