--- a/packages/bench/src/lib/policy/SimulatedService.ts
+++ b/packages/bench/src/lib/policy/SimulatedService.ts
@@ -111,7 +111,7 @@
       runTimes: this.#times,
       advice: NO_TICKETS,
       accountQuotaOf: () => undefined,
-      vacating: { isVacating: (machineId) => this.vacating.has(machineId) },
+      vacating: { isDraining: (machineId) => this.vacating.has(machineId) },
       nowMs,
       wallMs: nowMs
     })
--- a/packages/bench/src/lib/policy/SimulatedWorker.ts
+++ b/packages/bench/src/lib/policy/SimulatedWorker.ts
@@ -21,8 +21,8 @@
   readonly trueRuns = new Map<Run, TrueRun>()
   readonly clock = { isKnown: true }
   readonly health = new WorkerHealth()
-  readonly takesWork = true
-  readonly isNotedSilent = false
+  readonly acceptsRuns = true
+  readonly isRecordedSilent = false
   refusingUntilMs = -Infinity
   /** It neither hears nor answers. */
   isCut = false
--- a/packages/policy/src/lib/duties/dutyClaimDelayMs.ts
+++ b/packages/policy/src/lib/duties/dutyClaimDelayMs.ts
@@ -28,7 +28,7 @@
 }
 
 /** @param candidate - a host @returns its delay after it saw the duty vacant, which grows with its duties per capacity @public */
-export function dutyClaimDelayMs ({ capacityCores: power, maxCapacityCores: mostPower, heldDuties: heldCount, random }: DutyCandidate): number {
-  const load = (heldCount + 1) * Math.max(1, mostPower / power)
+export function dutyClaimDelayMs ({ capacityCores, maxCapacityCores, heldDuties, random }: DutyCandidate): number {
+  const load = (heldDuties + 1) * Math.max(1, maxCapacityCores / capacityCores)
   return Math.min(MAX_DELAY_MS, DELAY_PER_DUTY_MS * (load - 1)) + MAX_JITTER_MS * random
 }
--- a/packages/policy/src/lib/machines/computeServiceDemand.ts
+++ b/packages/policy/src/lib/machines/computeServiceDemand.ts
@@ -41,7 +41,7 @@
       if (isLasting && maxPerWorker > 0) leastMachines = Math.max(leastMachines, Math.ceil(taskCount / maxPerWorker) + 1)
     }
   }
-  const open = workerViews.filter((workerView) => workerView.takesWork && workerView.isAnswering(nowMs))
+  const open = workerViews.filter((workerView) => workerView.acceptsRuns && workerView.isAnswering(nowMs))
   const sizes = open.map(({ instance }) => instance.capacity.cpuMillis)
   return {
     service,
--- a/packages/policy/src/lib/machines/planPools.ts
+++ b/packages/policy/src/lib/machines/planPools.ts
@@ -106,11 +106,11 @@
   })
 }
 
-function countMachinesIn (pool: string, { machines, busy, unusableMachines: unusable }: Pick<PoolPlanningInput, 'machines' | 'busy' | 'unusableMachines'>): number {
+function countMachinesIn (pool: string, { machines, busy, unusableMachines }: Pick<PoolPlanningInput, 'machines' | 'busy' | 'unusableMachines'>): number {
   return [...machines.values()].filter(({ machineId, pool: present, state }) => {
     const next = busy.get(machineId)
     if (next !== undefined) return next === pool && state !== 'down'
-    return present === pool && state !== 'down' && !unusable.has(machineId)
+    return present === pool && state !== 'down' && !unusableMachines.has(machineId)
   }).length
 }
 
--- a/packages/policy/src/lib/machines/planWave.ts
+++ b/packages/policy/src/lib/machines/planWave.ts
@@ -43,8 +43,8 @@
 export function planWave (input: WavePlanningInput, wholeSize: number): string[] {
   const openShare = (input.pendingMachineIds.length + input.inProgressMachineIds.length) / Math.max(1, wholeSize)
   const isLate = input.remainingTimeShare - LATE_MARGIN < openShare
-  const away = new Map<string, number>()
-  for (const machineId of input.inProgressMachineIds) incrementUnavailable(away, input.machines.get(machineId)?.pool)
+  const unavailable = new Map<string, number>()
+  for (const machineId of input.inProgressMachineIds) incrementUnavailable(unavailable, input.machines.get(machineId)?.pool)
   const chosen: string[] = []
   const candidates = input.pendingMachineIds.filter((machineId) => input.machines.get(machineId)?.state === 'up' && !input.isBusy(machineId))
   for (const machineId of [...candidates].sort((a, b) => weight(a, input) - weight(b, input))) {
@@ -52,15 +52,15 @@
     if (input.inProgressMachineIds.length + chosen.length >= input.maxAtOnce) break
     const pool = input.machines.get(machineId)?.pool ?? ''
     const limit = Math.max(1, Math.floor(input.poolSize(pool) * (isLate ? MAX_UNAVAILABLE_SHARE_WHEN_LATE : MAX_UNAVAILABLE_SHARE)))
-    if (!input.isHeadroomPool(pool) && (away.get(pool) ?? 0) >= limit) continue
-    incrementUnavailable(away, pool)
+    if (!input.isHeadroomPool(pool) && (unavailable.get(pool) ?? 0) >= limit) continue
+    incrementUnavailable(unavailable, pool)
     chosen.push(machineId)
   }
   return chosen
 }
 
-function incrementUnavailable (away: Map<string, number>, pool: string | undefined): void {
-  if (pool !== undefined) away.set(pool, (away.get(pool) ?? 0) + 1)
+function incrementUnavailable (unavailable: Map<string, number>, pool: string | undefined): void {
+  if (pool !== undefined) unavailable.set(pool, (unavailable.get(pool) ?? 0) + 1)
 }
 
 /** Sort key of a machine: headroom pools first, then the fewest runs. */
--- a/packages/policy/src/lib/placement/PlacementRound.ts
+++ b/packages/policy/src/lib/placement/PlacementRound.ts
@@ -37,7 +37,7 @@
   /** Looks up the quota of an account in this service. */
   readonly accountQuotaOf: AccountQuotaLookup
   /** Tells which machines are being drained. */
-  readonly vacating: { isVacating (machineId: string): boolean }
+  readonly vacating: { isDraining (machineId: string): boolean }
   /** Monotonic. */
   readonly nowMs: number
   readonly wallMs: number
@@ -146,8 +146,8 @@
 
   #isAvailable (workerView: WorkerView): boolean {
     const { nowMs, vacating } = this.#options
-    return workerView.takesWork && workerView.clock.isKnown && workerView.isAnswering(nowMs) && !workerView.isNotedSilent &&
-      nowMs >= workerView.refusingUntilMs && !workerView.health.isQuarantined(nowMs) && !vacating.isVacating(workerView.instance.machineId)
+    return workerView.acceptsRuns && workerView.clock.isKnown && workerView.isAnswering(nowMs) && !workerView.isRecordedSilent &&
+      nowMs >= workerView.refusingUntilMs && !workerView.health.isQuarantined(nowMs) && !vacating.isDraining(workerView.instance.machineId)
   }
 
   /** Stops runs of other than lasting tasks, those with the least progress first, until a waiting lasting task fits. */
--- a/packages/policy/src/lib/placement/WorkerView.ts
+++ b/packages/policy/src/lib/placement/WorkerView.ts
@@ -12,7 +12,7 @@
   /** Instance as last registered. */
   readonly instance: WorkerInstance
   /** Whether it is registered and accepts new work. */
-  readonly takesWork: boolean
+  readonly acceptsRuns: boolean
   /** Runs placed on it that are not known to have ended. */
   readonly runs: ReadonlyMap<string, Run>
   /** Whether its clock has been read, which leases require. */
@@ -21,7 +21,7 @@
   /** Monotonic; it refused work and gets none until then. */
   readonly refusingUntilMs: number
   /** Whether it is recorded as silent and must not get a lease. */
-  readonly isNotedSilent: boolean
+  readonly isRecordedSilent: boolean
   /** @param nowMs - monotonic @returns whether it has answered recently */
   isAnswering (nowMs: number): boolean
 }
--- a/packages/policy/src/test/PlacementRound.test.ts
+++ b/packages/policy/src/test/PlacementRound.test.ts
@@ -26,12 +26,12 @@
   const capacity = { cpuMillis: CPU_MILLIS, memoryMb: 10_000, gpus: 0 }
   return {
     instance: { instanceId, machineId: instanceId, service: 's', address: '10.0.0.1', port: 80, availabilityZone: 'z', state: 'ready', labels: ['a', instanceId], capacity },
-    takesWork: true,
+    acceptsRuns: true,
     runs: new Map(),
     clock: { isKnown: true },
     health: new WorkerHealth(),
     refusingUntilMs: -Infinity,
-    isNotedSilent: false,
+    isRecordedSilent: false,
     isAnswering: () => true
   }
 }
@@ -44,7 +44,7 @@
     runTimes: new RunTimeEstimator(),
     advice: { ticketsFor: () => undefined },
     accountQuotaOf: () => undefined,
-    vacating: { isVacating: () => false },
+    vacating: { isDraining: () => false },
     nowMs: NOW_MS,
     wallMs: NOW_MS
   })
--- a/packages/policy/src/test/QuotaAdmission.test.ts
+++ b/packages/policy/src/test/QuotaAdmission.test.ts
@@ -118,14 +118,14 @@
   ]
   for (const { name, weight, arrivalsMs, excess } of cases) {
     it(name, () => {
-      const meter = new AccountTokenBuckets()
-      expect(arrivalsMs.filter((atMs) => meter.isOverShare(PRESS, weight, atMs))).to.have.length(excess)
+      const tokenBuckets = new AccountTokenBuckets()
+      expect(arrivalsMs.filter((atMs) => tokenBuckets.isOverShare(PRESS, weight, atMs))).to.have.length(excess)
     })
   }
 
   it('does not count one account against another', () => {
-    const meter = new AccountTokenBuckets()
-    for (let job = 0; job < 100; job++) meter.isOverShare(PRESS, 1, 0)
-    expect(meter.isOverShare(HERALD, 1, 0)).to.equal(false)
+    const tokenBuckets = new AccountTokenBuckets()
+    for (let job = 0; job < 100; job++) tokenBuckets.isOverShare(PRESS, 1, 0)
+    expect(tokenBuckets.isOverShare(HERALD, 1, 0)).to.equal(false)
   })
 })
--- a/packages/policy/src/test/accountFlood.test.ts
+++ b/packages/policy/src/test/accountFlood.test.ts
@@ -43,7 +43,7 @@
 
 /** Simulates jobs of one task each on a service with {@link SLOTS} slots, in the order of their ranks. */
 function play (flood: number, hasShares: boolean): Ended[] {
-  const meter = new AccountTokenBuckets()
+  const tokenBuckets = new AccountTokenBuckets()
   const times = new RunTimeEstimator()
   const coming = arrivals(flood)
   let waiting: Job[] = []
@@ -59,7 +59,7 @@
       const job = createJob(jobSpecSchema.parse({
         jobId: testJobId(ended.length), queue: 'q', command: '', owner: { account, keyTag: '' }, submittedMs: atMs, steps: [{ taskCount: 1, cpuMillis: 1000, estimateMs: RUN_MS }]
       }))
-      job.isOverShare = hasShares && meter.isOverShare(account, WEIGHT, atMs)
+      job.isOverShare = hasShares && tokenBuckets.isOverShare(account, WEIGHT, atMs)
       waiting.push(job)
     }
     const ranked = waiting.map((job) => ({
--- a/packages/policy/src/test/planWave.test.ts
+++ b/packages/policy/src/test/planWave.test.ts
@@ -9,19 +9,19 @@
 
 describe('planWave', () => {
   const cases = [
-    { name: 'machines where nothing runs go first, as many as may be down', open: ['a0', 'a1', 'off0', 'off1'], underWay: [], maxAtOnce: 2, leftShare: 1, chosen: ['off0', 'off1'] },
-    { name: 'one machine of a service at a time', open: ['a0', 'a1', 'a2'], underWay: [], maxAtOnce: 3, leftShare: 1, chosen: ['a0'] },
-    { name: 'more machines of a service when the wave is late', open: ['a0', 'a1', 'a2'], underWay: [], maxAtOnce: 3, leftShare: 0.2, chosen: ['a0', 'a1'] },
-    { name: 'none while the maximum is in progress', open: ['off0'], underWay: ['a0', 'a1'], maxAtOnce: 2, leftShare: 1, chosen: [] },
-    { name: 'none beside one of the same service', open: ['a1', 'a2'], underWay: ['a0'], maxAtOnce: 4, leftShare: 1, chosen: [] },
-    { name: 'none that is busy with something else', open: ['a7'], underWay: [], maxAtOnce: 4, leftShare: 1, chosen: [] },
-    { name: 'none that is not listed', open: ['gone'], underWay: [], maxAtOnce: 4, leftShare: 1, chosen: [] }
+    { name: 'machines where nothing runs go first, as many as may be down', open: ['a0', 'a1', 'off0', 'off1'], inProgress: [], maxAtOnce: 2, leftShare: 1, chosen: ['off0', 'off1'] },
+    { name: 'one machine of a service at a time', open: ['a0', 'a1', 'a2'], inProgress: [], maxAtOnce: 3, leftShare: 1, chosen: ['a0'] },
+    { name: 'more machines of a service when the wave is late', open: ['a0', 'a1', 'a2'], inProgress: [], maxAtOnce: 3, leftShare: 0.2, chosen: ['a0', 'a1'] },
+    { name: 'none while the maximum is in progress', open: ['off0'], inProgress: ['a0', 'a1'], maxAtOnce: 2, leftShare: 1, chosen: [] },
+    { name: 'none beside one of the same service', open: ['a1', 'a2'], inProgress: ['a0'], maxAtOnce: 4, leftShare: 1, chosen: [] },
+    { name: 'none that is busy with something else', open: ['a7'], inProgress: [], maxAtOnce: 4, leftShare: 1, chosen: [] },
+    { name: 'none that is not listed', open: ['gone'], inProgress: [], maxAtOnce: 4, leftShare: 1, chosen: [] }
   ]
-  for (const { name, open, underWay, maxAtOnce, leftShare, chosen } of cases) {
+  for (const { name, open, inProgress, maxAtOnce, leftShare, chosen } of cases) {
     it(name, () => {
       const planned = planWave({
         pendingMachineIds: open,
-        inProgressMachineIds: underWay,
+        inProgressMachineIds: inProgress,
         maxAtOnce,
         remainingTimeShare: leftShare,
         machines: MACHINES,
--- a/packages/scheduler/src/lib/duties/ServiceScheduler.ts
+++ b/packages/scheduler/src/lib/duties/ServiceScheduler.ts
@@ -115,7 +115,7 @@
     this.#inboxReader = new InboxReader({
       ...options,
       registry: this.#registry,
-      vacator: this.#drainer,
+      drainer: this.#drainer,
       weightOf: (account) => accountsOf(configuration()).weightOf(account),
       onRunRestored: (run) => this.#trackRun(run),
       onGone: (workerId, report) => this.#workers.handleMachineDown(workerId, report)
@@ -166,11 +166,11 @@
   }
 
   #createWorkers (): WorkerTracker {
-    const { service, orders, fencingToken, clock, log, holdsDuty: mayOrder, bounds } = this.#options
+    const { service, orders, fencingToken, clock, log, holdsDuty, bounds } = this.#options
     const linkOptions: WorkerTrackerOptions['linkOptions'] = {
       orders,
       fencingToken,
-      holdsDuty: mayOrder,
+      holdsDuty,
       onReport: (link, report, askedMs) => {
         this.#tracker.applyReport(link, report, askedMs)
         this.#requestRound()
@@ -189,7 +189,7 @@
       bounds,
       linkOptions,
       silentWorkers: this.#silentWorkers,
-      isVacating: (machineId) => this.#drainer.isVacating(machineId),
+      isDraining: (machineId) => this.#drainer.isDraining(machineId),
       onWorkerLost: (loss) => this.#crashTracker.recordLoss(loss, clock.monotonicMs()),
       onLost: (run, evidence) => {
         this.#options.metrics.record('lost_run_silence', evidence.reason, evidence.silentMs)
--- a/packages/scheduler/src/lib/jobs/InboxReader.ts
+++ b/packages/scheduler/src/lib/jobs/InboxReader.ts
@@ -22,7 +22,7 @@
   readonly log: EventLog
   readonly records: RecordReader
   readonly registry: JobRegistry
-  readonly vacator: Pick<MachineDrainer, 'request' | 'withdraw'>
+  readonly drainer: Pick<MachineDrainer, 'request' | 'withdraw'>
   /** Returns the number of jobs per second that an account is entitled to; `undefined` if it is not known. */
   readonly weightOf: (account: AccountName) => number | undefined
   /** Called for each run that was placed by a previous duty holder and may still be running. */
@@ -71,7 +71,7 @@
    * @param change - records that were written or removed
    */
   applyChange ({ changed, removed }: PrefixChange): void {
-    const { service, vacator } = this.#options
+    const { service, drainer: vacator } = this.#options
     const prefix = inboxPrefix(service)
     for (const item of changed) {
       const subject = parseInboxKey(item.key, prefix)
--- a/packages/scheduler/src/lib/jobs/JobRegistry.ts
+++ b/packages/scheduler/src/lib/jobs/JobRegistry.ts
@@ -106,8 +106,8 @@
    * @param task - a task of a job that has not ended
    */
   giveUpTask (task: Task): void {
-    const { job, key, crashes, avoidedInstances: avoid } = task
-    this.#options.log.warn({ jobId: job.spec.jobId, taskKey: key, points: crashes.points, starts: task.lastRunNumber, lastOn: [...avoid].at(-1) }, 'task given up: it ends the workers that start it')
+    const { job, key, crashes, avoidedInstances } = task
+    this.#options.log.warn({ jobId: job.spec.jobId, taskKey: key, points: crashes.points, starts: task.lastRunNumber, lastOn: [...avoidedInstances].at(-1) }, 'task given up: it ends the workers that start it')
     job.failure = { reason: 'crashes', taskKey: key }
     this.endJob(job, 'failed')
   }
--- a/packages/scheduler/src/lib/jobs/RunStarter.ts
+++ b/packages/scheduler/src/lib/jobs/RunStarter.ts
@@ -40,7 +40,7 @@
       const link = linkOf(run)
       const isWanted = run.phase === 'recording' && run.task.runs.includes(run)
       if (!isWanted) continue
-      if (link?.takesWork !== true || !stillFits(link, run)) {
+      if (link?.acceptsRuns !== true || !stillFits(link, run)) {
         registry.closeRun(run, 'not-started')
         continue
       }
--- a/packages/scheduler/src/lib/jobs/jobProgress.ts
+++ b/packages/scheduler/src/lib/jobs/jobProgress.ts
@@ -62,8 +62,8 @@
 }
 
 /** Encodes a run. A stop that a previous duty holder recorded stays in the record until the run has ended. */
-function encodeRun ({ runNumber, instanceId, phase, shouldStop: isToStop }: Run): RunProgress {
-  const isStopping = phase === 'stopping' || isToStop
+function encodeRun ({ runNumber, instanceId, phase, shouldStop }: Run): RunProgress {
+  const isStopping = phase === 'stopping' || shouldStop
   return { runNumber, instanceId, isStopping: isStopping || undefined }
 }
 
--- a/packages/scheduler/src/lib/machines/MachineDrainer.ts
+++ b/packages/scheduler/src/lib/machines/MachineDrainer.ts
@@ -47,14 +47,14 @@
   }
 
   /** @param machineId - a machine @returns whether it is being drained and accepts no work */
-  isVacating (machineId: string): boolean {
+  isDraining (machineId: string): boolean {
     return this.#requests.has(machineId)
   }
 
   /** Moves lasting tasks away from workers that are about to end. @param leaving - these workers @param nowMs - monotonic time */
   drainLeavingWorkers (leaving: readonly WorkerLink[], nowMs: number): void {
     for (const { instance, runs } of leaving) {
-      if (this.isVacating(instance.machineId)) continue
+      if (this.isDraining(instance.machineId)) continue
       for (const run of planLeavingWorkerDrain([...runs.values()], nowMs)) {
         this.#options.log.info({ taskKey: run.taskKey, runNumber: run.runNumber, instanceId: run.instanceId, state: instance.state }, 'lasting task leaves its worker')
         this.#options.stop(run)
--- a/packages/scheduler/src/lib/machines/MachineDuty.ts
+++ b/packages/scheduler/src/lib/machines/MachineDuty.ts
@@ -85,7 +85,7 @@
   readonly #lossDetector = new MachineLossDetector()
   readonly #lastSeenWorkers = new LastSeenWorkers()
   readonly #balancer: PoolBalancer
-  #commits!: FencedBatchWriter
+  #writer!: FencedBatchWriter
   #machines = new Map<string, ListedMachine>()
   #listedMs = -Infinity
   #tookOverMs = 0
@@ -107,7 +107,7 @@
   async run (): Promise<void> {
     const { store, clock, log, records, dutyKey, fencingToken, onDeposed } = this.#options
     this.#tookOverMs = clock.monotonicMs()
-    const [commits, record, sightings] = await Promise.all([
+    const [writer, record, lastSeen] = await Promise.all([
       openFencedBatchWriter({
         store,
         clock,
@@ -123,27 +123,27 @@
       retryUntilAnswered(() => store.get(MACHINE_DUTY_RECORD_KEY), this.#stop.signal),
       retryUntilAnswered(() => store.list(SIGHTINGS_PREFIX), this.#stop.signal)
     ])
-    if (commits === undefined || this.#stop.signal.aborted) return
-    this.#commits = commits
+    if (writer === undefined || this.#stop.signal.aborted) return
+    this.#writer = writer
     if (record !== undefined) this.#restore(records.read(record, decodeMachineDutyRecord) ?? FALLBACK_MACHINE_DUTY_RECORD)
-    if (sightings !== undefined) this.#lossDetector.restore(this.#lastSeenWorkers.restore(sightings.items, records))
+    if (lastSeen !== undefined) this.#lossDetector.restore(this.#lastSeenWorkers.restore(lastSeen.items, records))
     await this.#withdrawUnrecordedDrains()
-    await Promise.all([this.#commits.run(), this.#drainedReplica.run(this.#stop.signal), this.#demandReplica.run(this.#stop.signal), this.#runLoop()])
+    await Promise.all([this.#writer.run(), this.#drainedReplica.run(this.#stop.signal), this.#demandReplica.run(this.#stop.signal), this.#runLoop()])
   }
 
   /** Stops immediately, without writing what is pending. */
   close (): void {
     this.#stop.abort()
-    this.#commits?.close()
+    this.#writer?.close()
   }
 
   /** Writes the current state for the next holder. @param timeoutMs - maximum time to wait for the store */
   async flush (timeoutMs: number): Promise<void> {
-    if (this.#commits === undefined) return
+    if (this.#writer === undefined) return
     // Saved again so that the record holds the cooldowns as they remain now.
     this.#saveRecord()
     if (this.#listedMs > -Infinity) this.#saveLastSeenWorkers(true)
-    await this.#commits.flushWithin(timeoutMs)
+    await this.#writer.flushWithin(timeoutMs)
   }
 
   #restore ({ tasks, waves, cooldowns, allPausedMs }: MachineDutyRecord): void {
@@ -163,7 +163,7 @@
       for (const { key } of requested?.items ?? []) {
         const machineId = key.slice(vacatePrefix(service).length)
         if (this.#tasks.has(machineId)) continue
-        this.#commits.put(key, () => undefined, true)
+        this.#writer.put(key, () => undefined, true)
         log.info({ machineId, service }, 'withdrew a drain request without a recorded task')
       }
     }
@@ -210,13 +210,13 @@
 
   #saveLastSeenWorkers (isHandover: boolean): void {
     const changes = this.#lastSeenWorkers.changesToWrite(this.#machines.values(), this.#options.clock.monotonicMs(), isHandover)
-    for (const { key, value } of changes) this.#commits.put(key, () => value, isHandover)
+    for (const { key, value } of changes) this.#writer.put(key, () => value, isHandover)
   }
 
   /** Reports lost workers to their schedulers, which otherwise wait until all leases of a silent worker have expired. */
-  #reportLostWorkers (gone: readonly LostWorker[], listedWallMs: number): void {
+  #reportLostWorkers (lostWorkers: readonly LostWorker[], listedWallMs: number): void {
     const services = this.#options.services()
-    for (const { service, workerId, machineId } of gone) {
+    for (const { service, workerId, machineId } of lostWorkers) {
       if (!services.includes(service)) continue
       this.#put({ key: goneKey(service, workerId), value: encodeMachineLossReport({ machineId, listedWallMs }) })
       this.#options.log.warn({ service, workerId, machineId }, 'machine is down or gone')
@@ -250,7 +250,7 @@
   #finish (task: MachineTask, outcome: string): void {
     this.#tasks.delete(task.machineId)
     if (task.kind === 'upkeep' && task.state !== 'begun') this.#markSettled(task)
-    if (task.from !== '') this.#commits.put(vacateKey(task.from, task.machineId), () => undefined, true)
+    if (task.from !== '') this.#writer.put(vacateKey(task.from, task.machineId), () => undefined, true)
     this.#saveRecord()
     const { machineId, kind, wave, from, to, state } = task
     const tookMs = Math.round(this.#options.clock.monotonicMs() - task.sinceMs)
@@ -277,14 +277,14 @@
       log.info({ wave: progress.wave, tookMs: clock.wallMs() - progress.startedWallMs }, 'wave done')
       return
     }
-    const underWay = [...this.#tasks.values()].filter(({ kind, wave }) => kind === 'upkeep' && wave === progress.wave).map(({ machineId }) => machineId)
+    const inProgress = [...this.#tasks.values()].filter(({ kind, wave }) => kind === 'upkeep' && wave === progress.wave).map(({ machineId }) => machineId)
     const headroom = new Set(headroomPools())
     const demands = this.#demands.current(this.#demandReplica.items, clock.monotonicMs())
     const machineIdsToStart = planWave({
-      pendingMachineIds: request.machineIds.filter((machineId) => !settled.has(machineId) && !underWay.includes(machineId)),
+      pendingMachineIds: request.machineIds.filter((machineId) => !settled.has(machineId) && !inProgress.includes(machineId)),
       machines: this.#machines,
       isBusy: (machineId) => this.#tasks.has(machineId),
-      inProgressMachineIds: underWay,
+      inProgressMachineIds: inProgress,
       maxAtOnce: request.maxAtOnce,
       isHeadroomPool: (pool) => headroom.has(pool),
       countRuns: (machineId) => demands.find(({ runsByMachine }) => runsByMachine.has(machineId))?.runsByMachine.get(machineId) ?? 0,
@@ -330,13 +330,13 @@
       this.#cooldowns.beginOrder(task.machineId)
     }
     this.#saveRecord()
-    if (!await this.#commits.flushed()) return
+    if (!await this.#writer.flushed()) return
     await Promise.all(ready.map((task) => this.#sendOrder(task)))
   }
 
   async #sendOrder (task: MachineTask): Promise<void> {
-    const { machines, hostName, fencingToken, log, holdsDuty: mayOrder, clock } = this.#options
-    if (!mayOrder()) return this.#cooldowns.endOrder(task.machineId, clock.monotonicMs())
+    const { machines, hostName, fencingToken, log, holdsDuty, clock } = this.#options
+    if (!holdsDuty()) return this.#cooldowns.endOrder(task.machineId, clock.monotonicMs())
     const order = { machineId: task.machineId, holder: hostName, fencingToken }
     const sent = await (task.kind === 'upkeep' ? machines.upkeep(order, task.wave) : machines.move(order, task.to))
     const outcome = sent.ok ? sent.val : sent.val.kind
@@ -358,7 +358,7 @@
   }
 
   #put ({ key, value }: { readonly key: string, readonly value: string }): void {
-    this.#commits.put(key, () => value, true)
+    this.#writer.put(key, () => value, true)
   }
 
   /** Saves the remaining cooldowns regularly, so that the successor of a killed holder waits little longer than necessary. */
@@ -379,6 +379,6 @@
         allPausedMs: this.#cooldowns.globalRemainingMs(nowMs)
       })
     }
-    this.#commits.put(MACHINE_DUTY_RECORD_KEY, encode, true)
+    this.#writer.put(MACHINE_DUTY_RECORD_KEY, encode, true)
   }
 }
--- a/packages/scheduler/src/lib/workers/LeaseBounds.ts
+++ b/packages/scheduler/src/lib/workers/LeaseBounds.ts
@@ -73,8 +73,8 @@
   }
 
   #previousLeaseMs (): number {
-    const { previousLeaseMs: formerLeaseMs } = this.#options.silentWorkers
-    return formerLeaseMs === 0 ? 0 : Math.max(this.leaseMs, formerLeaseMs ?? MAX_LEASE_MS)
+    const { previousLeaseMs } = this.#options.silentWorkers
+    return previousLeaseMs === 0 ? 0 : Math.max(this.leaseMs, previousLeaseMs ?? MAX_LEASE_MS)
   }
 
   #previousLeasesEndMs (): number {
--- a/packages/scheduler/src/lib/workers/RunLossHandler.ts
+++ b/packages/scheduler/src/lib/workers/RunLossHandler.ts
@@ -27,7 +27,7 @@
   /** Monotonic time since which the duty has been held. */
   readonly tookOverMs: number
   /** Whether a machine is being drained. */
-  readonly isVacating: (machineId: string) => boolean
+  readonly isDraining: (machineId: string) => boolean
   /** Called for each worker whose runs are lost, before {@link RunLossHandlerOptions.onLost} is called for the runs. */
   readonly onWorkerLost: (loss: WorkerLoss) => void
   /** Called for each run that is lost with its worker. */
@@ -119,9 +119,9 @@
   }
 
   /** Reports each lifetime that ended with unresolved runs, once. */
-  #reportWorkerLosses (settled: readonly UnresolvedRun[]): void {
-    for (const instanceId of new Set(settled.map(({ runState }) => runState.loss.instanceId))) {
-      const ofLifetime = settled.filter(({ runState }) => runState.loss.instanceId === instanceId)
+  #reportWorkerLosses (resolved: readonly UnresolvedRun[]): void {
+    for (const instanceId of new Set(resolved.map(({ runState }) => runState.loss.instanceId))) {
+      const ofLifetime = resolved.filter(({ runState }) => runState.loss.instanceId === instanceId)
       for (const { runState: { loss } } of ofLifetime.slice(0, 1)) this.#options.onWorkerLost({ ...loss, runs: ofLifetime.map(({ run }) => run) })
     }
   }
@@ -150,14 +150,14 @@
   /** Whether the end was planned: the worker or its machine was draining, or the worker kept answering without a registration. */
   #isEndPlanned (link: WorkerLink, nowMs: number): boolean {
     const isLeaving = !link.isRegistered && link.isAnswering(nowMs)
-    return isLeaving || link.instance.state === 'draining' || this.#options.isVacating(link.instance.machineId)
+    return isLeaving || link.instance.state === 'draining' || this.#options.isDraining(link.instance.machineId)
   }
 
-  #loseRun (run: Run, { lastAnswerMs: heardMs }: Omit<WorkerLoss, 'runs'>, reason: string, runsOfOtherJobs = 0): void {
+  #loseRun (run: Run, { lastAnswerMs }: Omit<WorkerLoss, 'runs'>, reason: string, runsOfOtherJobs = 0): void {
     const { clock, tookOverMs, onLost } = this.#options
     const nowMs = clock.monotonicMs()
     const placedAgoMs = run.placedMs === undefined ? undefined : Math.round(nowMs - run.placedMs)
-    onLost(run, { reason, silentMs: Math.round(nowMs - (heardMs ?? tookOverMs)), placedAgoMs, runsOfOtherJobs })
+    onLost(run, { reason, silentMs: Math.round(nowMs - (lastAnswerMs ?? tookOverMs)), placedAgoMs, runsOfOtherJobs })
   }
 }
 
--- a/packages/scheduler/src/lib/workers/SilentWorkers.ts
+++ b/packages/scheduler/src/lib/workers/SilentWorkers.ts
@@ -87,17 +87,17 @@
    * Restores the record of the previous holder and rewrites it as this holder's.
    *
    * @param item - the stored record, if there is one; an invalid record is ignored
-   * @param formerToken - fencing token of the last holder that wrote anything
+   * @param previousToken - fencing token of the last holder that wrote anything
    */
-  restore (item: KeyValue | undefined, formerToken: number | undefined): void {
+  restore (item: KeyValue | undefined, previousToken: number | undefined): void {
     // No holder before this one, so there are no leases.
-    if (formerToken === undefined) this.#previousLeaseMs = 0
+    if (previousToken === undefined) this.#previousLeaseMs = 0
     const record = item === undefined ? undefined : this.#options.records.read(item, (text) => decodeJson(recordSchema, text))
-    if (record !== undefined && record.fencingToken === formerToken) this.#adoptRecord(record)
+    if (record !== undefined && record.fencingToken === previousToken) this.#adoptRecord(record)
     const { service, log } = this.#options
     const isBelieved = this.#previousLeaseMs !== undefined
     const workers = record?.workers ?? []
-    if (workers.length > 0) log.info({ service, isBelieved, formerToken, workers: workers.slice(0, MAX_LOGGED_WORKERS), count: workers.length }, 'silent workers taken over')
+    if (workers.length > 0) log.info({ service, isBelieved, formerToken: previousToken, workers: workers.slice(0, MAX_LOGGED_WORKERS), count: workers.length }, 'silent workers taken over')
     this.#put(false)
   }
 
@@ -129,9 +129,9 @@
     while (!signal.aborted && this.#runningInheritedTimers().length > 0) {
       const listed = await store.list(leaseTimerPrefix(service))
       const running = listed.ok ? new Set(listed.val.items.map(({ key }) => key)) : undefined
-      const over = this.#runningInheritedTimers().filter((timer) => running?.has(leaseTimerKey(service, timer)) === false)
-      for (const timer of over) this.#expiredTimers.add(timer)
-      if (over.length > 0) onTimerExpired()
+      const expiredTimers = this.#runningInheritedTimers().filter((timer) => running?.has(leaseTimerKey(service, timer)) === false)
+      for (const timer of expiredTimers) this.#expiredTimers.add(timer)
+      if (expiredTimers.length > 0) onTimerExpired()
       await delay(TIMER_POLL_INTERVAL_MS, signal)
     }
   }
@@ -222,9 +222,9 @@
       return undefined
     }
     const timer = `${fencingToken}-${++this.#timersCreated}`
-    const made = await store.transact({ conditions: [], puts: [{ key: leaseTimerKey(service, timer), value: '', leaseId: lease.val }], removals: [] })
-    if (made.ok && made.val.committed) return timer
-    log.warn({ service, error: made.err ? made.val : 'the lease has expired' }, 'timer for silent workers could not be created')
+    const created = await store.transact({ conditions: [], puts: [{ key: leaseTimerKey(service, timer), value: '', leaseId: lease.val }], removals: [] })
+    if (created.ok && created.val.committed) return timer
+    log.warn({ service, error: created.err ? created.val : 'the lease has expired' }, 'timer for silent workers could not be created')
     return undefined
   }
 
--- a/packages/scheduler/src/lib/workers/WorkerLink.ts
+++ b/packages/scheduler/src/lib/workers/WorkerLink.ts
@@ -93,7 +93,7 @@
   }
 
   /** Whether the worker is registered as ready for new work. */
-  get takesWork (): boolean {
+  get acceptsRuns (): boolean {
     return this.registration === 'readable' && this.instance.state === 'ready'
   }
 
@@ -113,7 +113,7 @@
   }
 
   /** Whether the worker may be recorded as silent; it gets no leases and no new work until the record is removed. */
-  get isNotedSilent (): boolean {
+  get isRecordedSilent (): boolean {
     return this.#options.isRecordedSilent(this)
   }
 
@@ -132,9 +132,9 @@
   async keepPolling (): Promise<void> {
     let failures = 0
     while (!this.#stop.signal.aborted) {
-      const mayWait = failures === 0 && this.hasResponded && !this.isNotedSilent
+      const mayWait = failures === 0 && this.hasResponded && !this.isRecordedSilent
       const isAnswered = await this.#hold(mayWait ? this.#options.holdWaitMs() : 0)
-      if (isAnswered && this.isNotedSilent) await this.#waitForRemoval()
+      if (isAnswered && this.isRecordedSilent) await this.#waitForRemoval()
       failures = isAnswered ? 0 : failures + 1
       if (failures > 0) await delay(Math.min(MAX_RETRY_DELAY_MS, MIN_RETRY_DELAY_MS * 2 ** (failures - 1)), this.#stop.signal)
     }
@@ -143,7 +143,7 @@
   /** Waits until leases may be extended, but not longer than a regular extension interval. */
   async #waitForRemoval (): Promise<void> {
     await Promise.race([this.#pendingRemoval, delay(LEASE_EXTENSION_INTERVAL_MS, this.#stop.signal)])
-    if (this.isNotedSilent) await delay(MIN_RETRY_DELAY_MS, this.#stop.signal)
+    if (this.isRecordedSilent) await delay(MIN_RETRY_DELAY_MS, this.#stop.signal)
   }
 
   async #hold (waitMs: number): Promise<boolean> {
@@ -204,7 +204,7 @@
   /** Extends the lease. @param nowMs - monotonic time @returns the new end of the lease, `undefined` if none may be granted */
   #extendLease (nowMs: number): number | undefined {
     const { holdsDuty, leaseMs } = this.#options
-    return holdsDuty() && !this.isNotedSilent ? this.clock.extendLease(leaseMs, nowMs) : undefined
+    return holdsDuty() && !this.isRecordedSilent ? this.clock.extendLease(leaseMs, nowMs) : undefined
   }
 
   /**
@@ -285,7 +285,7 @@
     this.clock.addReading(clockMs, nowMs)
     if (!this.#isInContact) this.#options.onContactChange(this, undefined)
     this.#isInContact = true
-    if (this.isNotedSilent) this.#pendingRemoval ??= this.#options.removeSilentRecord(this).finally(() => { this.#pendingRemoval = undefined })
+    if (this.isRecordedSilent) this.#pendingRemoval ??= this.#options.removeSilentRecord(this).finally(() => { this.#pendingRemoval = undefined })
   }
 
   #handleError (error: RunOrderError): void {
--- a/packages/scheduler/src/lib/workers/WorkerTracker.ts
+++ b/packages/scheduler/src/lib/workers/WorkerTracker.ts
@@ -28,7 +28,7 @@
   /** The workers recorded as silent by this holder or previous ones. */
   readonly silentWorkers: SilentWorkers
   /** Whether a machine is being drained. */
-  readonly isVacating: (machineId: string) => boolean
+  readonly isDraining: (machineId: string) => boolean
   /** Called for each worker whose runs are lost, before {@link WorkerTrackerOptions.onLost} is called for the runs. */
   readonly onWorkerLost: (loss: WorkerLoss) => void
   /** Called for each run that is lost with its worker. */
@@ -72,7 +72,7 @@
   readonly #orphans = new Set<Run>()
   readonly #endedLifetimes: EndedLifetimes
   readonly #leases: LeaseBounds
-  readonly #losses: RunLossHandler
+  readonly #lossHandler: RunLossHandler
   readonly #tookOverMs: number
   #registered: RegisteredWorkers = { workers: [], registeredIds: new Set() }
   #hasLoggedLeaseWaits = false
@@ -85,7 +85,7 @@
     this.#tookOverMs = options.clock.monotonicMs()
     this.#endedLifetimes = new EndedLifetimes(options.log)
     this.#leases = new LeaseBounds({ ...options, tookOverMs: this.#tookOverMs })
-    this.#losses = new RunLossHandler({ ...options, leases: this.#leases, tookOverMs: this.#tookOverMs })
+    this.#lossHandler = new RunLossHandler({ ...options, leases: this.#leases, tookOverMs: this.#tookOverMs })
   }
 
   /** Links to all connected workers. */
@@ -101,7 +101,7 @@
       registered: workers.length,
       over: workers.filter(({ instanceId }) => this.#endedLifetimes.endReasonOf(instanceId) !== undefined).length,
       silent: links.filter((link) => link.isRegistered && !link.isAnswering(nowMs)).length,
-      usable: links.filter((link) => link.takesWork && link.isAnswering(nowMs)).length
+      usable: links.filter((link) => link.acceptsRuns && link.isAnswering(nowMs)).length
     }
   }
 
@@ -119,12 +119,12 @@
    * Lists the workers that are about to end: they are draining, or still answer although their registration has ended. The list is
    * empty while no other worker could take their runs.
    *
-   * @param storeSteadyMs - how long the store has been answering; after an outage, registrations may be missing for a while
+   * @param storeReachableMs - how long the store has been answering; after an outage, registrations may be missing for a while
    * @param nowMs - monotonic time
    */
-  leaving (storeSteadyMs: number, nowMs: number): WorkerLink[] {
-    const isBelieved = storeSteadyMs > REGISTRATION_RECOVERY_MS
-    const hasOthers = this.links.some((link) => link.takesWork && link.isAnswering(nowMs))
+  leaving (storeReachableMs: number, nowMs: number): WorkerLink[] {
+    const isBelieved = storeReachableMs > REGISTRATION_RECOVERY_MS
+    const hasOthers = this.links.some((link) => link.acceptsRuns && link.isAnswering(nowMs))
     return this.links.filter((link) => hasOthers && link.isAnswering(nowMs) && (link.isRegistered ? link.instance.state === 'draining' : isBelieved))
   }
 
@@ -132,7 +132,7 @@
   addRun (run: Run): void {
     const link = this.linkOf(run)
     if (link !== undefined) link.runs.set(runKey(run), run)
-    else if (this.links.some(({ instance }) => isNextLifetime(instance.instanceId, run.instanceId))) this.#losses.addUnresolved(run)
+    else if (this.links.some(({ instance }) => isNextLifetime(instance.instanceId, run.instanceId))) this.#lossHandler.addUnresolved(run)
     else this.#orphans.add(run)
   }
 
@@ -199,12 +199,12 @@
       if (this.leasesLeftMs(link.instance.instanceId, nowMs) > 0) continue
       const reason = link.clock.hasGrantedLease ? LEASES_EXPIRED : PREVIOUS_LEASES_EXPIRED
       if (!link.isRegistered) this.#removeLink(link, reason)
-      else this.#losses.loseRuns(link.instance.instanceId, link, [...link.runs.values()].filter(({ phase }) => phase !== 'recording'), reason)
+      else this.#lossHandler.loseRuns(link.instance.instanceId, link, [...link.runs.values()].filter(({ phase }) => phase !== 'recording'), reason)
     }
     for (const instanceId of this.#orphanedLifetimes()) {
       if (this.leasesLeftMs(instanceId, nowMs) === 0) this.#loseOrphans(instanceId, PREVIOUS_LEASES_EXPIRED)
     }
-    this.#losses.loseExpired(nowMs)
+    this.#lossHandler.loseExpired(nowMs)
   }
 
   /** Records the workers that do not answer, for the next holder at a planned hand-over. @param nowMs - monotonic time */
@@ -215,7 +215,7 @@
 
   /** Tells whether a lifetime is connected or may have runs. @param instanceId - id of the lifetime @returns true if so */
   isTracked (instanceId: string): boolean {
-    return this.#links.has(instanceId) || this.#losses.hasUnresolved(instanceId) || [...this.#orphans].some((run) => run.instanceId === instanceId)
+    return this.#links.has(instanceId) || this.#lossHandler.hasUnresolved(instanceId) || [...this.#orphans].some((run) => run.instanceId === instanceId)
   }
 
   /** Returns the lifetimes without a link that have runs of previous holders. */
@@ -273,7 +273,7 @@
   #loseOrphans (instanceId: string, reason: string): void {
     const runs = [...this.#orphans].filter((run) => run.instanceId === instanceId)
     for (const run of runs) this.#orphans.delete(run)
-    this.#losses.loseRuns(instanceId, undefined, runs, reason)
+    this.#lossHandler.loseRuns(instanceId, undefined, runs, reason)
   }
 
   #pruneEndedLifetimes (): void {
@@ -311,7 +311,7 @@
         this.#endLifetime(of, by === 'next-lifetime' ? WORKER_RESTARTED : OTHER_LIFETIME)
       },
       onReport: (of, report, askedMs) => {
-        this.#losses.resolve(of, report, askedMs)
+        this.#lossHandler.resolve(of, report, askedMs)
         linkOptions.onReport(of, report, askedMs)
       },
       onContactChange: (of, error) => log.warn({ instanceId: of.instance.instanceId, error }, error === undefined ? 'worker answers again' : 'worker does not answer'),
@@ -324,7 +324,7 @@
       if (workerIdOf(run.instanceId) !== workerIdOf(instanceId)) continue
       this.#orphans.delete(run)
       if (run.instanceId === instanceId) link.runs.set(runKey(run), run)
-      else this.#losses.addUnresolved(run)
+      else this.#lossHandler.addUnresolved(run)
     }
     log.info({ instanceId, machineId: instance.machineId, address, labels, capacity }, 'worker met')
     void link.keepPolling()
@@ -332,7 +332,7 @@
 
   /** Returns the hold time; it is shorter for machines being drained, filler runs and starting long-running tasks. */
   #holdWaitMs (link: WorkerLink): number {
-    const isClose = this.#options.isVacating(link.instance.machineId) ||
+    const isClose = this.#options.isDraining(link.instance.machineId) ||
       [...link.runs.values()].some((run) => stepOf(run.task).isFiller || (stepOf(run.task).isLasting && run.percent < 100))
     return isClose ? SHORT_HOLD_WAIT_MS : HOLD_WAIT_MS
   }
@@ -345,7 +345,7 @@
   }
 
   #removeLink (link: WorkerLink, reason: string): void {
-    this.#losses.loseRunsOfLink(link, reason)
+    this.#lossHandler.loseRunsOfLink(link, reason)
     link.close()
     this.#links.delete(link.instance.instanceId)
     this.#options.onChange()
@@ -353,6 +353,6 @@
 }
 
 /** Tells whether a lifetime is a later one of the same worker. */
-function isNextLifetime (instanceId: string, former: string): boolean {
-  return workerIdOf(instanceId) === workerIdOf(former) && (lifetimeStartMsOf(instanceId) ?? -Infinity) > (lifetimeStartMsOf(former) ?? -Infinity)
+function isNextLifetime (instanceId: string, previous: string): boolean {
+  return workerIdOf(instanceId) === workerIdOf(previous) && (lifetimeStartMsOf(instanceId) ?? -Infinity) > (lifetimeStartMsOf(previous) ?? -Infinity)
 }
--- a/packages/scheduler/src/test/CrashTracker.test.ts
+++ b/packages/scheduler/src/test/CrashTracker.test.ts
@@ -10,7 +10,7 @@
   readonly zone?: string
   readonly runs: ReadonlyArray<{ readonly task: string, readonly agoMs: number, readonly phase?: Run['phase'] }>
   /** Time since the worker last answered. */
-  readonly heardAgoMs?: number
+  readonly lastAnswerAgoMs?: number
   readonly isPlanned?: boolean
   readonly isSilent?: boolean
 }
@@ -21,7 +21,7 @@
 interface Case {
   readonly name: string
   readonly steps: ReadonlyArray<Loss | GiveUp>
-  readonly expected: { readonly task: string, readonly points: number, readonly isSuspect: boolean, readonly verdict: PlacementDecision }
+  readonly expected: { readonly task: string, readonly points: number, readonly isSuspect: boolean, readonly decision: PlacementDecision }
 }
 
 const SOON = 20
@@ -30,78 +30,78 @@
 const lateCrash = (atMs: number, ...tasks: string[]): Loss => ({ atMs, runs: tasks.map((task) => ({ task, agoMs: LATE })) })
 
 const cases: readonly Case[] = [
-  { name: 'one crash', steps: [crash(0, 'a')], expected: { task: 'a', points: 2, isSuspect: true, verdict: 'place' } },
-  { name: 'two crashes, the second soon after the start with no other job on the worker', steps: [crash(0, 'a', 'b'), crash(2000, 'a')], expected: { task: 'a', points: 4, isSuspect: true, verdict: 'give-up' } },
-  { name: 'two crashes, the first late in the run', steps: [lateCrash(0, 'a'), crash(9000, 'a')], expected: { task: 'a', points: 4, isSuspect: true, verdict: 'place' } },
+  { name: 'one crash', steps: [crash(0, 'a')], expected: { task: 'a', points: 2, isSuspect: true, decision: 'place' } },
+  { name: 'two crashes, the second soon after the start with no other job on the worker', steps: [crash(0, 'a', 'b'), crash(2000, 'a')], expected: { task: 'a', points: 4, isSuspect: true, decision: 'give-up' } },
+  { name: 'two crashes, the first late in the run', steps: [lateCrash(0, 'a'), crash(9000, 'a')], expected: { task: 'a', points: 4, isSuspect: true, decision: 'place' } },
   {
     name: 'three crashes, the first late in the run',
     steps: [lateCrash(0, 'a'), crash(9000, 'a'), crash(11_000, 'a')],
-    expected: { task: 'a', points: 6, isSuspect: true, verdict: 'give-up' }
+    expected: { task: 'a', points: 6, isSuspect: true, decision: 'give-up' }
   },
-  { name: 'two crashes, both late in the run', steps: [lateCrash(0, 'a'), lateCrash(9000, 'a')], expected: { task: 'a', points: 4, isSuspect: true, verdict: 'place' } },
-  { name: 'two crashes, each beside other jobs', steps: [crash(0, 'a', 'b'), crash(2000, 'a', 'c')], expected: { task: 'a', points: 4, isSuspect: true, verdict: 'place' } },
-  { name: 'three crashes, each beside other jobs', steps: [crash(0, 'a', 'b'), crash(2000, 'a', 'c'), crash(4000, 'a', 'd')], expected: { task: 'a', points: 6, isSuspect: true, verdict: 'give-up' } },
-  { name: 'five losses of uncertain cause', steps: [0, 1, 2, 3, 4].map((index) => ({ ...crash(index * 9000, 'a'), isSilent: true })), expected: { task: 'a', points: 5, isSuspect: true, verdict: 'give-up' } },
-  { name: 'a start that was never sent', steps: [{ atMs: 0, runs: [{ task: 'a', agoMs: SOON, phase: 'recording' }] }], expected: { task: 'a', points: 0, isSuspect: false, verdict: 'place' } },
-  { name: 'a start whose outcome is unknown', steps: [{ atMs: 0, runs: [{ task: 'a', agoMs: SOON, phase: 'starting' }] }], expected: { task: 'a', points: 2, isSuspect: true, verdict: 'place' } },
-  { name: 'a planned end of the worker', steps: [{ ...lateCrash(0, 'a'), isPlanned: true }], expected: { task: 'a', points: 0, isSuspect: false, verdict: 'place' } },
-  { name: 'a planned end of the worker, soon after the start', steps: [{ ...crash(0, 'a'), isPlanned: true }], expected: { task: 'a', points: 2, isSuspect: true, verdict: 'place' } },
+  { name: 'two crashes, both late in the run', steps: [lateCrash(0, 'a'), lateCrash(9000, 'a')], expected: { task: 'a', points: 4, isSuspect: true, decision: 'place' } },
+  { name: 'two crashes, each beside other jobs', steps: [crash(0, 'a', 'b'), crash(2000, 'a', 'c')], expected: { task: 'a', points: 4, isSuspect: true, decision: 'place' } },
+  { name: 'three crashes, each beside other jobs', steps: [crash(0, 'a', 'b'), crash(2000, 'a', 'c'), crash(4000, 'a', 'd')], expected: { task: 'a', points: 6, isSuspect: true, decision: 'give-up' } },
+  { name: 'five losses of uncertain cause', steps: [0, 1, 2, 3, 4].map((index) => ({ ...crash(index * 9000, 'a'), isSilent: true })), expected: { task: 'a', points: 5, isSuspect: true, decision: 'give-up' } },
+  { name: 'a start that was never sent', steps: [{ atMs: 0, runs: [{ task: 'a', agoMs: SOON, phase: 'recording' }] }], expected: { task: 'a', points: 0, isSuspect: false, decision: 'place' } },
+  { name: 'a start whose outcome is unknown', steps: [{ atMs: 0, runs: [{ task: 'a', agoMs: SOON, phase: 'starting' }] }], expected: { task: 'a', points: 2, isSuspect: true, decision: 'place' } },
+  { name: 'a planned end of the worker', steps: [{ ...lateCrash(0, 'a'), isPlanned: true }], expected: { task: 'a', points: 0, isSuspect: false, decision: 'place' } },
+  { name: 'a planned end of the worker, soon after the start', steps: [{ ...crash(0, 'a'), isPlanned: true }], expected: { task: 'a', points: 2, isSuspect: true, decision: 'place' } },
   {
     name: 'a planned end of a worker that has not answered since the start',
-    steps: [{ atMs: 0, runs: [{ task: 'a', agoMs: 1255 }], heardAgoMs: 1249, isPlanned: true }],
-    expected: { task: 'a', points: 1, isSuspect: false, verdict: 'place' }
+    steps: [{ atMs: 0, runs: [{ task: 'a', agoMs: 1255 }], lastAnswerAgoMs: 1249, isPlanned: true }],
+    expected: { task: 'a', points: 1, isSuspect: false, decision: 'place' }
   },
   {
     name: 'a rack that loses power twice under long tasks',
     steps: [0, 9000].flatMap((atMs) => [{ ...lateCrash(atMs, 'a'), rack: 'r1' }, { ...lateCrash(atMs + 300, 'b'), rack: 'r1' }]),
-    expected: { task: 'a', points: 2, isSuspect: true, verdict: 'place' }
+    expected: { task: 'a', points: 2, isSuspect: true, decision: 'place' }
   },
   {
     name: 'a zone that loses power',
     steps: ['a', 'b', 'c'].map((task, index) => ({ ...lateCrash(index * 100, task), rack: task, zone: 'z' })),
-    expected: { task: 'a', points: 1, isSuspect: false, verdict: 'place' }
+    expected: { task: 'a', points: 1, isSuspect: false, decision: 'place' }
   },
   {
     name: 'a zone that loses power right after the task started',
     steps: ['a', 'b', 'c'].map((task, index) => ({ ...crash(index * 100, task), rack: task, zone: 'z' })),
-    expected: { task: 'a', points: 1, isSuspect: false, verdict: 'place' }
+    expected: { task: 'a', points: 1, isSuspect: false, decision: 'place' }
   },
   {
     name: 'two workers of a rack, right after the task started',
     steps: ['a', 'b'].map((task, index) => ({ ...crash(index * 100, task), rack: 'r1', zone: 'z' })),
-    expected: { task: 'a', points: 1, isSuspect: true, verdict: 'place' }
+    expected: { task: 'a', points: 1, isSuspect: true, decision: 'place' }
   },
   {
     name: 'two workers of a zone, in different racks',
     steps: ['a', 'b'].map((task, index) => ({ ...lateCrash(index * 100, task), rack: task, zone: 'z' })),
-    expected: { task: 'a', points: 2, isSuspect: true, verdict: 'place' }
+    expected: { task: 'a', points: 2, isSuspect: true, decision: 'place' }
   },
   {
     name: 'workers of a rack that all ended soon after tasks of one job started on them',
     steps: ['a', 'a2'].map((task, index) => ({ ...crash(index * 100, task), rack: 'r1' })),
-    expected: { task: 'a', points: 2, isSuspect: true, verdict: 'place' }
+    expected: { task: 'a', points: 2, isSuspect: true, decision: 'place' }
   },
   {
     name: 'beside a task that was already suspected and had just started',
     steps: [crash(0, 'b'), { atMs: 2000, runs: [{ task: 'b', agoMs: SOON }, { task: 'a', agoMs: LATE }] }],
-    expected: { task: 'a', points: 1, isSuspect: false, verdict: 'place' }
+    expected: { task: 'a', points: 1, isSuspect: false, decision: 'place' }
   },
   {
     name: 'cleared, since another job turned out to be the cause',
     steps: [{ atMs: 0, runs: [{ task: 'b', agoMs: SOON }, { task: 'a', agoMs: LATE }] }, { atMs: 3000, culprit: 'b' }],
-    expected: { task: 'a', points: 0, isSuspect: false, verdict: 'place' }
+    expected: { task: 'a', points: 0, isSuspect: false, decision: 'place' }
   },
   {
     name: 'cleared, but the task had just started on the worker as well',
     steps: [crash(0, 'a', 'b'), { atMs: 3000, culprit: 'b' }],
-    expected: { task: 'a', points: 1, isSuspect: false, verdict: 'place' }
+    expected: { task: 'a', points: 1, isSuspect: false, decision: 'place' }
   },
   {
     name: 'cleared, but the worker has not answered since the task started',
-    steps: [{ atMs: 0, runs: [{ task: 'b', agoMs: SOON }, { task: 'a', agoMs: 1200 }], heardAgoMs: 1190 }, { atMs: 3000, culprit: 'b' }],
-    expected: { task: 'a', points: 1, isSuspect: false, verdict: 'place' }
+    steps: [{ atMs: 0, runs: [{ task: 'b', agoMs: SOON }, { task: 'a', agoMs: 1200 }], lastAnswerAgoMs: 1190 }, { atMs: 3000, culprit: 'b' }],
+    expected: { task: 'a', points: 1, isSuspect: false, decision: 'place' }
   },
-  { name: 'a decision delayed until other losses nearby are known', steps: [crash(0, 'a'), crash(99_900, 'a')], expected: { task: 'a', points: 4, isSuspect: true, verdict: 'wait' } }
+  { name: 'a decision delayed until other losses nearby are known', steps: [crash(0, 'a'), crash(99_900, 'a')], expected: { task: 'a', points: 4, isSuspect: true, decision: 'wait' } }
 ]
 const DECISION_MS = 100_000
 
@@ -135,12 +135,12 @@
       const tracker = new CrashTracker({ log: new TestLog(), count: () => {}, onChanged: () => {} })
       steps.forEach((step, index) => {
         if ('culprit' in step) return tracker.clearOtherJobs(tasks.jobOf(step.culprit))
-        const { atMs, rack, zone, runs, heardAgoMs = 100, isPlanned = false, isSilent = false } = step
+        const { atMs, rack, zone, runs, lastAnswerAgoMs = 100, isPlanned = false, isSilent = false } = step
         const lostRuns = runs.map(({ task, agoMs, phase }) => runOf(tasks.find(task), atMs - agoMs, phase))
-        tracker.recordLoss({ instanceId: `w${index}`, rack, availabilityZone: zone, lastAnswerMs: atMs - heardAgoMs, runs: lostRuns, isPlanned, isSilent }, atMs)
+        tracker.recordLoss({ instanceId: `w${index}`, rack, availabilityZone: zone, lastAnswerMs: atMs - lastAnswerAgoMs, runs: lostRuns, isPlanned, isSilent }, atMs)
       })
       const task = tasks.find(expected.task)
-      expect({ task: expected.task, points: task.crashes.points, isSuspect: isCrashSuspect(task), verdict: decidePlacement(task, DECISION_MS) })
+      expect({ task: expected.task, points: task.crashes.points, isSuspect: isCrashSuspect(task), decision: decidePlacement(task, DECISION_MS) })
         .to.deep.equal(expected)
     })
   }
--- a/packages/scheduler/src/test/DutyElector.test.ts
+++ b/packages/scheduler/src/test/DutyElector.test.ts
@@ -42,7 +42,7 @@
   }
 }
 
-interface Host { readonly roster: DutyElector, readonly store: HostStore, readonly name: string }
+interface Host { readonly elector: DutyElector, readonly store: HostStore, readonly name: string }
 
 describe('DutyElector', () => {
   const store = new MemoryKeyValueStore(systemClock)
@@ -50,14 +50,14 @@
   const tenures = new Tenures()
 
   afterEach(async () => {
-    await Promise.all(hosts.map(({ roster }) => roster.stop()))
+    await Promise.all(hosts.map(({ elector }) => elector.stop()))
     hosts = []
   })
 
   function addHost (name: string, capacityCores: number, dutyKeys: readonly string[] = DUTIES): Host {
     const hostStore = new HostStore(store)
     const random = new SeededRandom(hosts.length)
-    const roster = new DutyElector({
+    const elector = new DutyElector({
       hostName: name,
       capacityCores,
       store: hostStore as unknown as KeyValueStore,
@@ -67,9 +67,9 @@
       ttlMs: TTL_MS,
       random: () => random.next()
     })
-    for (const dutyKey of dutyKeys) roster.compete(dutyKey, tenures.create(dutyKey, name))
-    void roster.run()
-    const host = { roster, store: hostStore, name }
+    for (const dutyKey of dutyKeys) elector.compete(dutyKey, tenures.create(dutyKey, name))
+    void elector.run()
+    const host = { elector, store: hostStore, name }
     hosts.push(host)
     return host
   }
@@ -78,11 +78,11 @@
     const key = 'duty/late'
     const puts = [{ key: hostKey('strong'), value: '1' }, { key: hostKey('weak'), value: '0.25' }]
     await store.transact({ conditions: [], puts, removals: [] })
-    const { roster, store: hostStore } = addHost('weak', 0.25, [])
+    const { elector, store: hostStore } = addHost('weak', 0.25, [])
     hostStore.hostsDelayMs = 150
     await delay(60)
     const addedMs = performance.now()
-    roster.compete(key, tenures.create(key, 'weak'))
+    elector.compete(key, tenures.create(key, 'weak'))
     await waitUntilHeld([key], addedMs, 2000)
     expect((tenures.holders.get(key)?.fromMs ?? 0) - addedMs).to.be.above(400)
   })
@@ -119,7 +119,7 @@
   it('skips the first-start delay when the fleet restarts', async () => {
     const first = addHost('host1', 1)
     await waitUntilHeld(DUTIES, performance.now(), 5000)
-    await first.roster.stop()
+    await first.elector.stop()
     hosts = []
     const startedMs = performance.now()
     addHost('host1', 1)
--- a/packages/scheduler/src/test/MachineDrainer.test.ts
+++ b/packages/scheduler/src/test/MachineDrainer.test.ts
@@ -8,17 +8,17 @@
 describe('MachineVacator', () => {
   const link = { instance: { machineId: 'm1' }, runs: new Map() } as unknown as WorkerLink
   const cases = [
-    { name: 'an idle worker', links: [link], hasUnmetRuns: false, isReported: true },
-    { name: 'no registered worker, while runs of a previous holder may continue somewhere', links: [], hasUnmetRuns: true, isReported: false },
-    { name: 'no registered worker and no unaccounted runs', links: [], hasUnmetRuns: false, isReported: true },
-    { name: 'an idle worker, while runs may continue elsewhere', links: [link], hasUnmetRuns: true, isReported: true }
+    { name: 'an idle worker', links: [link], hasOrphanedRuns: false, isReported: true },
+    { name: 'no registered worker, while runs of a previous holder may continue somewhere', links: [], hasOrphanedRuns: true, isReported: false },
+    { name: 'no registered worker and no unaccounted runs', links: [], hasOrphanedRuns: false, isReported: true },
+    { name: 'an idle worker, while runs may continue elsewhere', links: [link], hasOrphanedRuns: true, isReported: true }
   ]
-  for (const { name, links, hasUnmetRuns, isReported } of cases) {
+  for (const { name, links, hasOrphanedRuns, isReported } of cases) {
     it(`${isReported ? 'reports' : 'does not report'} a machine as empty with ${name}`, () => {
       const written: string[] = []
       const drainer = new MachineDrainer({ service: 'grids', clock: systemClock, log: new TestLog(), put: (key) => written.push(key), stop: () => {} })
       drainer.request('m1', 'upkeep 1.1')
-      drainer.reconcile({ links, hasOrphanedRuns: hasUnmetRuns }, systemClock.monotonicMs())
+      drainer.reconcile({ links, hasOrphanedRuns }, systemClock.monotonicMs())
       expect(written).to.deep.equal(isReported ? [vacatedKey('grids', 'm1')] : [])
     })
   }
--- a/packages/scheduler/src/test/MachineLossDetector.test.ts
+++ b/packages/scheduler/src/test/MachineLossDetector.test.ts
@@ -31,16 +31,16 @@
   ]
   for (const { name, lists: [restoredList, ...lists], expected } of restored) {
     it(`reports ${expected.length} lost workers for ${name}`, () => {
-      const watch = new MachineLossDetector()
-      watch.restore(restoredList ?? new Map())
-      expect(lists.flatMap((list) => watch.detect(list)).map(({ workerId }) => workerId)).to.deep.equal(expected)
+      const detector = new MachineLossDetector()
+      detector.restore(restoredList ?? new Map())
+      expect(lists.flatMap((list) => detector.detect(list)).map(({ workerId }) => workerId)).to.deep.equal(expected)
     })
   }
 
   for (const { name, lists, expected } of cases) {
     it(`reports ${expected.length} lost workers for ${name}`, () => {
-      const watch = new MachineLossDetector()
-      expect(lists.flatMap((list) => watch.detect(list)).map(({ workerId }) => workerId)).to.deep.equal(expected)
+      const detector = new MachineLossDetector()
+      expect(lists.flatMap((list) => detector.detect(list)).map(({ workerId }) => workerId)).to.deep.equal(expected)
     })
   }
 })
--- a/packages/scheduler/src/test/OrderCooldowns.test.ts
+++ b/packages/scheduler/src/test/OrderCooldowns.test.ts
@@ -12,35 +12,35 @@
   readonly atMs: number
   readonly left: readonly OrderCooldown[]
   readonly allLeftMs?: number
-  readonly isPaused: boolean
+  readonly isCoolingDown: boolean
 }
 
 const cases: readonly Case[] = [
-  { name: 'no cooldown without an order', setUp: () => {}, atMs: 10_000, left: [], isPaused: false },
+  { name: 'no cooldown without an order', setUp: () => {}, atMs: 10_000, left: [], isCoolingDown: false },
   {
     name: 'an order in progress keeps the whole cooldown and its timeout, however long ago it was sent',
     setUp: (cooldowns) => cooldowns.beginOrder('m'),
     atMs: 60_000,
     left: [{ machineId: 'm', remainingMs: COOLDOWN_MS + ORDER_TIMEOUT_MS }],
-    isPaused: false
+    isCoolingDown: false
   },
-  { name: 'the cooldown of an own order starts with its answer', setUp: (cooldowns) => cooldowns.endOrder('m', 11_000), atMs: 12_000, left: [{ machineId: 'm', remainingMs: 2500 }], isPaused: false },
-  { name: 'the cooldown of an own order expires', setUp: (cooldowns) => cooldowns.endOrder('m', 11_000), atMs: 14_500, left: [], isPaused: false },
+  { name: 'the cooldown of an own order starts with its answer', setUp: (cooldowns) => cooldowns.endOrder('m', 11_000), atMs: 12_000, left: [{ machineId: 'm', remainingMs: 2500 }], isCoolingDown: false },
+  { name: 'the cooldown of an own order expires', setUp: (cooldowns) => cooldowns.endOrder('m', 11_000), atMs: 14_500, left: [], isCoolingDown: false },
   {
     name: 'the cooldown of a previous holder continues',
     setUp: (cooldowns) => cooldowns.restore([{ machineId: 'm', remainingMs: 1000 }], 0, 10_000),
     atMs: 10_400,
     left: [{ machineId: 'm', remainingMs: 600 }],
-    isPaused: true
+    isCoolingDown: true
   },
-  { name: 'the cooldown of a previous holder expires', setUp: (cooldowns) => cooldowns.restore([{ machineId: 'm', remainingMs: 1000 }], 0, 10_000), atMs: 11_000, left: [], isPaused: false },
+  { name: 'the cooldown of a previous holder expires', setUp: (cooldowns) => cooldowns.restore([{ machineId: 'm', remainingMs: 1000 }], 0, 10_000), atMs: 11_000, left: [], isCoolingDown: false },
   {
     name: 'a previous holder with the previous software version may have ordered any machine',
     setUp: (cooldowns) => cooldowns.restore([], Infinity, 10_000),
     atMs: 13_000,
     left: [],
     allLeftMs: 500 + ORDER_TIMEOUT_MS,
-    isPaused: true
+    isCoolingDown: true
   },
   {
     name: 'the longer of two cooldowns of a machine applies',
@@ -50,16 +50,16 @@
     },
     atMs: 10_600,
     left: [{ machineId: 'm', remainingMs: 3400 }],
-    isPaused: true
+    isCoolingDown: true
   }
 ]
 
 describe('OrderPauses', () => {
-  for (const { name, setUp: act, atMs, left, allLeftMs = 0, isPaused } of cases) {
+  for (const { name, setUp: act, atMs, left, allLeftMs = 0, isCoolingDown } of cases) {
     it(name, () => {
       const cooldowns = new OrderCooldowns(() => COOLDOWN_MS)
       act(cooldowns)
-      expect(cooldowns.isCoolingDown('m', atMs)).to.equal(isPaused)
+      expect(cooldowns.isCoolingDown('m', atMs)).to.equal(isCoolingDown)
       expect(cooldowns.left(atMs)).to.deep.equal(left)
       expect(cooldowns.globalRemainingMs(atMs)).to.equal(allLeftMs)
     })
--- a/packages/scheduler/src/test/ServiceScheduler.test.ts
+++ b/packages/scheduler/src/test/ServiceScheduler.test.ts
@@ -116,8 +116,8 @@
 
     it('lists workers and jobs in parallel, so that it waits for only one list on a slow link', async () => {
       service = new TestService(2)
-      const former = await service.takeOver()
-      former.scheduler.close()
+      const previous = await service.takeOver()
+      previous.scheduler.close()
       for (const prefix of [progressPrefix(SERVICE), inboxPrefix(SERVICE), 'workers/']) service.store.listDelayMs.set(prefix, 400)
       const jobId = await service.submit(1, { runMs: 100 })
       const tookOverMs = performance.now()
@@ -264,7 +264,7 @@
     service = new TestService(2, 1000)
     service.maxLeaseMs = 10_000
     const [first, second] = ['w1-1', 'w0-1'].map((instanceId) => service.runs.workers.get(instanceId) as StandInWorker)
-    const former = await service.takeOver()
+    const previous = await service.takeOver()
     await service.submit(1, { runMs: 0 }, [{ taskCount: 2, isLasting: true, maxAway: 1 }])
     await service.until('both run', () => first?.active.size === 1 && second?.active.size === 1)
     await delay(100)
@@ -272,7 +272,7 @@
     const next = service.addWorker(2, 1, 2000)
     service.write(vacateKey(SERVICE, 'm1'), 'upkeep 1.1')
     await service.until('one is being stopped', () => first?.acceptedStopCount === 1)
-    former.scheduler.close()
+    previous.scheduler.close()
     service.write(vacateKey(SERVICE, 'm0'), 'upkeep 1.1')
     await service.takeOver()
     await service.until('both moved', () => next.active.size === 2 && second?.active.size === 0)
--- a/packages/scheduler/src/test/SilentWorkers.test.ts
+++ b/packages/scheduler/src/test/SilentWorkers.test.ts
@@ -119,13 +119,13 @@
   })
 
   const writers = [
-    { name: 'by the last holder that wrote anything', formerToken: 5, isBelieved: true },
-    { name: 'before another holder wrote, which may not have read it', formerToken: 6, isBelieved: false }
+    { name: 'by the last holder that wrote anything', previousToken: 5, isBelieved: true },
+    { name: 'before another holder wrote, which may not have read it', previousToken: 6, isBelieved: false }
   ]
-  for (const { name, formerToken, isBelieved } of writers) {
+  for (const { name, previousToken, isBelieved } of writers) {
     it(`${isBelieved ? 'uses' : 'ignores'} a record that was written ${name}`, async () => {
       const fixture = new SilentWorkersFixture()
-      fixture.silent.restore(RECORD, formerToken)
+      fixture.silent.restore(RECORD, previousToken)
       await fixture.silent.watchTimers(new AbortController().signal)
       expect(fixture.silent.havePreviousLeasesExpired('a')).to.equal(isBelieved)
       expect(fixture.silent.isRecorded('a')).to.equal(isBelieved)
@@ -140,13 +140,13 @@
     const lease = (await fixture.store.grantLease(300)).unwrap()
     await fixture.store.transact({ conditions: [], puts: [{ key: leaseTimerKey('s', '5-1'), value: '', leaseId: lease }], removals: [] })
     fixture.silent.restore(RECORD, 5)
-    const followed = fixture.silent.watchTimers(new AbortController().signal)
+    const watching = fixture.silent.watchTimers(new AbortController().signal)
     await delay(100)
     fixture.store.isDown = true
     await delay(500)
     expect(fixture.silent.havePreviousLeasesExpired('a')).to.equal(false)
     fixture.store.isDown = false
-    await followed
+    await watching
     expect(fixture.silent.havePreviousLeasesExpired('a')).to.equal(true)
   })
 })
