--- a/packages/policy/src/lib/jobs/JobState.ts
+++ b/packages/policy/src/lib/jobs/JobState.ts
@@ -11,7 +11,7 @@
 export type JobStatus = 'queued' | 'running' | 'succeeded' | 'failed' | 'cancelled'
 
 /**
- * Phase of a run. `recording`: being written to the store; `starting`: the start request is unanswered; `running`; `stopping`;
+ * Phase of a run. `recording`: being written to the store; `starting`: the start order is unanswered; `running`; `stopping`;
  * `unconfirmed`: placed by a previous holder, and the worker has not been asked yet.
  *
  * @public
@@ -21,7 +21,7 @@
 /** One run of a task on one worker. @public */
 export interface Run extends RunRef {
   readonly task: Task
-  /** Instance of the worker; replaced by the worker's next instance if the start request turns out to have reached that one. */
+  /** Lifetime of the worker; replaced by the worker's next lifetime if the start order turns out to have reached that one. */
   instanceId: string
   readonly ticket?: string | undefined
   phase: RunPhase
@@ -31,7 +31,7 @@
   startedMs: number | undefined
   /** Monotonic; when the worker confirmed the stop. */
   stopConfirmedMs: number | undefined
-  /** The worker may still act on a start request. */
+  /** The worker may still act on a start order. */
   isUncertain: boolean
   /** A previous holder recorded that it is to be stopped. */
   shouldStop: boolean
@@ -63,7 +63,7 @@
   crashes: CrashRecord
   checkpoint: string
   readonly runs: Run[]
-  /** Worker instances on which it failed or stalled. */
+  /** Worker lifetimes on which it failed or stalled. */
   readonly avoidedInstances: Set<string>
   /** Monotonic; since when it has been ready for placement. */
   waitingSinceMs: number | undefined
--- a/packages/policy/src/lib/jobs/crashes.ts
+++ b/packages/policy/src/lib/jobs/crashes.ts
@@ -26,7 +26,7 @@
 /** Points that each kind of loss adds to a task. @public */
 export const CRASH_POINTS: Readonly<Record<WorkerLossKind, number>> = { crash: 2, shared: 1, beside: 1, silent: 1, unclear: 1, cleared: 0 }
 
-/** Reached by the third crash, or the fifth loss of doubtful cause: users allow two more starts after three crashes. */
+/** Reached by the third crash, or the fifth loss of uncertain cause: users allow two more starts after three crashes. */
 const GIVE_UP_POINTS = 5
 /** Two crashes suffice if both came soon after the start and only the task's job ran on the second worker. */
 const CERTAIN_GIVE_UP_POINTS = 4
@@ -36,7 +36,7 @@
 export const EARLY_LOSS_MS = 500
 /** A run that is still going after this time does not crash its worker. */
 const SURVIVAL_MS = 3000
-/** Wait before giving a task up: if a rack or zone lost power, its other workers are detected as lost within this time. */
+/** Wait before giving up a task: if a rack or zone lost power, its other workers are detected as lost within this time. */
 const GIVE_UP_DELAY_MS = 300
 
 /** @param task - a task @returns whether it may crash the workers that start it @public */
--- a/packages/policy/src/lib/machines/MachineNeedTracker.ts
+++ b/packages/policy/src/lib/machines/MachineNeedTracker.ts
@@ -7,7 +7,7 @@
 
 /** Machines that were needed within this time are not released. @public */
 export const NEED_WINDOW_MS = 1200
-/** Growth is measured over this window and extrapolated by the lead time of a move, at most to a multiple of the present need. */
+/** Growth is measured over this window and extrapolated by the lead time of a move, at most to a multiple of the current need. */
 const GROWTH_WINDOW_MS = 1000
 const MOVE_LEAD_TIME_MS = 1500
 const MAX_GROWTH_FACTOR = 2
@@ -18,7 +18,7 @@
 export class MachineNeedTracker {
   readonly #needs = new Map<string, Need[]>()
 
-  /** Records the present needs. @param demands - present demands @param nowMs - monotonic @returns the recent peak need by service */
+  /** Records the current needs. @param demands - current demands @param nowMs - monotonic @returns the recent peak need by service */
   trackRecentPeak (demands: readonly ServiceDemand[], nowMs: number): Map<string, number> {
     return new Map(demands.map((demand) => {
       const needs = (this.#needs.get(demand.service) ?? []).filter(({ atMs }) => nowMs - atMs < NEED_WINDOW_MS)
--- a/packages/policy/src/lib/machines/planPools.ts
+++ b/packages/policy/src/lib/machines/planPools.ts
@@ -32,7 +32,7 @@
   /** Pools whose machines are switched off. */
   readonly headroomPools: readonly string[]
   readonly machines: ReadonlyMap<string, ListedMachine>
-  /** Machines in drain, move or maintenance, by the pool where they will be; they count there. */
+  /** Machines being drained, moved or maintained, by the pool that they will be in; they count there. */
   readonly busy: ReadonlyMap<string, string>
   /** Machines that are up in a service's pool, but have not been usable for so long that they do not count. */
   readonly unusableMachines: ReadonlySet<string>
@@ -98,7 +98,7 @@
   return moves
 }
 
-/** @param input - current state @returns needed and present machines of each service @public */
+/** @param input - current state @returns needed and available machines of each service @public */
 export function countPools (input: Pick<PoolPlanningInput, 'demands' | 'machines' | 'busy' | 'unusableMachines' | 'recentPeakNeed' | 'predictedNeed'>): PoolCount[] {
   return input.demands.map((demand): PoolCount => {
     const need = Math.max(machinesNeeded(demand), input.predictedNeed.get(demand.service) ?? 0)
@@ -107,10 +107,10 @@
 }
 
 function countMachinesIn (pool: string, { machines, busy, unusableMachines }: Pick<PoolPlanningInput, 'machines' | 'busy' | 'unusableMachines'>): number {
-  return [...machines.values()].filter(({ machineId, pool: present, state }) => {
+  return [...machines.values()].filter(({ machineId, pool: currentPool, state }) => {
     const next = busy.get(machineId)
     if (next !== undefined) return next === pool && state !== 'down'
-    return present === pool && state !== 'down' && !unusableMachines.has(machineId)
+    return currentPool === pool && state !== 'down' && !unusableMachines.has(machineId)
   }).length
 }
 
--- a/packages/policy/src/lib/machines/planWave.ts
+++ b/packages/policy/src/lib/machines/planWave.ts
@@ -10,7 +10,7 @@
   /** Machines of the wave whose maintenance has not begun. */
   readonly pendingMachineIds: readonly string[]
   readonly machines: ReadonlyMap<string, ListedMachine>
-  /** Whether a machine is in drain, move or maintenance for any reason. */
+  /** Whether a machine is being drained, moved or maintained for any reason. */
   readonly isBusy: (machineId: string) => boolean
   /** Machines of the wave that are draining or down for it. */
   readonly inProgressMachineIds: readonly string[]
--- a/packages/policy/src/lib/placement/WorkerView.ts
+++ b/packages/policy/src/lib/placement/WorkerView.ts
@@ -11,14 +11,14 @@
 export interface WorkerView {
   /** Instance as last registered. */
   readonly instance: WorkerInstance
-  /** Whether it is registered and accepts new work. */
+  /** Whether it is registered as ready for new runs. */
   readonly acceptsRuns: boolean
   /** Runs placed on it that are not known to have ended. */
   readonly runs: ReadonlyMap<string, Run>
   /** Whether its clock has been read, which leases require. */
   readonly clock: { readonly isKnown: boolean }
   readonly health: WorkerHealth
-  /** Monotonic; it refused work and gets none until then. */
+  /** Monotonic; it refused a run and gets no new ones until then. */
   readonly refusingUntilMs: number
   /** Whether it is recorded as silent and must not get a lease. */
   readonly isRecordedSilent: boolean
--- a/packages/policy/src/lib/quotas/QuotaAdmission.ts
+++ b/packages/policy/src/lib/quotas/QuotaAdmission.ts
@@ -38,12 +38,12 @@
   readonly held = new Set<Task>()
   /** The first task of each step in {@link held} that exceeds its account's limit and can never run. */
   readonly oversized: Task[] = []
-  readonly #roomOf: AccountQuotaLookup
+  readonly #accountQuotaOf: AccountQuotaLookup
   readonly #left = new Map<AccountName, Resources>()
 
-  /** @param roomOf - looks up the quota of an account */
-  constructor (roomOf: AccountQuotaLookup) {
-    this.#roomOf = roomOf
+  /** @param accountQuotaOf - looks up the quota of an account */
+  constructor (accountQuotaOf: AccountQuotaLookup) {
+    this.#accountQuotaOf = accountQuotaOf
   }
 
   /** @param tasks - tasks of one step @returns whether the quota allows at least one of them, or the whole gang, to start */
@@ -83,7 +83,7 @@
 
   #roomFor ({ job }: Task): QuotaLeft | undefined {
     const account = job.spec.owner?.account
-    const room = account === undefined ? undefined : this.#roomOf(account)
+    const room = account === undefined ? undefined : this.#accountQuotaOf(account)
     if (account === undefined || room === undefined) return undefined
     return { account, limit: room.limit, left: this.#left.get(account) ?? minus(room.usable, room.used) }
   }
--- a/packages/policy/src/test/MachineNeedTracker.test.ts
+++ b/packages/policy/src/test/MachineNeedTracker.test.ts
@@ -4,7 +4,7 @@
 
 const NOW_MS = 100_000
 
-describe('ServiceNeeds', () => {
+describe('MachineNeedTracker', () => {
   const demand = (wantedCores: number): ServiceDemand => ({
     service: 's', wantedMillis: wantedCores * 1000, leastMachines: 1, machineMillis: 10_000, runsByMachine: new Map()
   })
--- a/packages/policy/src/test/QuotaAdmission.test.ts
+++ b/packages/policy/src/test/QuotaAdmission.test.ts
@@ -38,7 +38,7 @@
 
 interface GroupShape { readonly account?: AccountName, readonly step?: Partial<StepSpec> }
 
-describe('QuotaRound', () => {
+describe('QuotaAdmission', () => {
   const cases: ReadonlyArray<{
     readonly name: string,
     readonly usable: number,
@@ -90,7 +90,7 @@
   })
 })
 
-describe('demandOf', () => {
+describe('computeServiceDemand', () => {
   const cases = [
     { name: 'all waiting tasks, without a limit', limit: undefined, wantedMillis: 400 },
     { name: 'all waiting tasks, below the limit', limit: cpu(1000), wantedMillis: 400 },
@@ -106,7 +106,7 @@
   }
 })
 
-describe('ShareMeter', () => {
+describe('AccountTokenBuckets', () => {
   const everyMs = (spacingMs: number, count: number): number[] => Array.from({ length: count }, (_, at) => at * spacingMs)
   const cases = [
     { name: 'an account that submits its share', weight: 10, arrivalsMs: everyMs(100, 50), excess: 0 },
--- a/packages/policy/src/test/planDrain.test.ts
+++ b/packages/policy/src/test/planDrain.test.ts
@@ -33,7 +33,7 @@
   return made
 }
 
-describe('mayBeAway', () => {
+describe('isDisruptionAllowed', () => {
   const cases = [
     { name: 'all others are ready', others: [[100, 100], [100, 100]], maxAway: 1, expected: true },
     { name: 'another is still starting', others: [[100, 100], [100, 40]], maxAway: 1, expected: false },
@@ -53,7 +53,7 @@
   }
 })
 
-describe('planVacate', () => {
+describe('planDrain', () => {
   const cases = [
     { name: 'lets a short task finish', step: {}, sinceMs: NOW_MS - 1000, stopped: 0 },
     { name: 'stops a task that takes too long', step: {}, sinceMs: NOW_MS - 6000, stopped: 3 },
--- a/packages/scheduler/src/lib/duties/DutyElector.ts
+++ b/packages/scheduler/src/lib/duties/DutyElector.ts
@@ -114,7 +114,7 @@
   /**
    * Publishes the capacity of this host.
    *
-   * @returns whether the same capacity was already published by an earlier start; then the other hosts' are published as well, and the
+   * @returns whether the same capacity was already published by a previous start; then the other hosts' are published as well, and the
    *   first-start delay is not needed
    */
   async #publishCapacity (): Promise<boolean> {
--- a/packages/scheduler/src/lib/jobs/CrashTracker.ts
+++ b/packages/scheduler/src/lib/jobs/CrashTracker.ts
@@ -17,7 +17,7 @@
   readonly runs: readonly Run[]
   /** Monotonic time of the last answer to this duty holder; `undefined` if the worker never answered it. */
   readonly lastAnswerMs: number | undefined
-  /** The worker was draining, its machine was being vacated, or its registration had ended while it still answered. */
+  /** The worker was draining, its machine was being drained, or its registration had ended while it still answered. */
   readonly isPlanned: boolean
   /** Nothing confirms that the worker ended: it does not answer, and its leases have expired. */
   readonly isSilent: boolean
@@ -162,7 +162,7 @@
   return isPlanned && !isJustStarted ? 'unclear' : 'crash'
 }
 
-/** Classifies a loss for one task. If a suspected task had just started on the worker, tasks of other jobs are probably not the cause. */
+/** Classifies a loss for one task. If a suspect task had just started on the worker, tasks of other jobs are probably not the cause. */
 function lossKindOf (loss: WorkerLoss, task: Task, justStartedTasks: ReadonlySet<Task>, suspects: ReadonlySet<Job>): WorkerLossKind {
   const cause = baseLossKindOf(loss, justStartedTasks.has(task))
   return cause === 'crash' && suspects.size > 0 && !suspects.has(task.job) ? 'beside' : cause
@@ -182,7 +182,7 @@
   return startMs !== undefined && nowMs - startMs <= EARLY_LOSS_MS
 }
 
-/** Whether the worker is known to have answered more than `SOON_MS` after the start of the run. */
+/** Whether the worker is known to have answered more than {@link EARLY_LOSS_MS} after the start of the run. */
 function hasSurvivedStart ({ lastAnswerMs }: WorkerLoss, { startedMs, placedMs }: Run): boolean {
   const startMs = startedMs ?? placedMs
   return lastAnswerMs !== undefined && startMs !== undefined && lastAnswerMs - startMs > EARLY_LOSS_MS
--- a/packages/scheduler/src/lib/jobs/InboxReader.ts
+++ b/packages/scheduler/src/lib/jobs/InboxReader.ts
@@ -108,7 +108,7 @@
     return specs.sort((a, b) => a.submittedMs - b.submittedMs)
   }
 
-  #isExcess ({ owner, submittedMs }: JobSpec): boolean {
+  #isOverShare ({ owner, submittedMs }: JobSpec): boolean {
     const weight = owner === undefined ? undefined : this.#options.weightOf(owner.account)
     return owner !== undefined && weight !== undefined && this.#shares.isOverShare(owner.account, weight, submittedMs)
   }
@@ -125,7 +125,7 @@
       return
     }
     const job = createJob(spec)
-    job.isOverShare = this.#isExcess(spec)
+    job.isOverShare = this.#isOverShare(spec)
     if (job.isOverShare) log.info({ jobId, account: spec.owner?.account }, 'job is beyond its account\'s share: others go first')
     registry.jobs.set(jobId, job)
     if (progress === undefined) return
--- a/packages/scheduler/src/lib/jobs/JobApi.ts
+++ b/packages/scheduler/src/lib/jobs/JobApi.ts
@@ -223,7 +223,7 @@
   }
 
   /**
-   * Calls the store and retries until it answers or time runs out. A store known to be silent is not called: the request fails at once, so that
+   * Calls the store and retries until it answers or time runs out. A store known to be unresponsive is not called: the request fails at once, so that
    * the client can retry on another host. After a lost answer the call is repeated once, then the request fails for the same reason.
    */
   async #retry<T> (deadlineMs: number, call: () => Promise<Result<T, PlatformError>>): Promise<RetryResult<T>> {
@@ -261,5 +261,5 @@
   return [`${step.taskCount} x ${step.cpuMillis} mcpu ${step.memoryMb} MB ${step.estimateMs} ms`, ...traits].join(', ')
 }
 
-/** Result of a call that may have been retried; `mayHaveEffect` tells whether a try without an answer may have taken effect. */
+/** Result of a call that may have been retried; `mayHaveEffect` is true if an attempt without an answer may have taken effect. */
 interface RetryResult<T> { readonly result: Result<T, PlatformError>, readonly mayHaveEffect: boolean, readonly tries: number }
--- a/packages/scheduler/src/lib/jobs/JobRegistry.ts
+++ b/packages/scheduler/src/lib/jobs/JobRegistry.ts
@@ -101,7 +101,7 @@
   }
 
   /**
-   * Fails the job of a task that crashes the workers which start it.
+   * Fails the job of a task that crashes the workers that start it.
    *
    * @param task - a task of a job that has not ended
    */
--- a/packages/scheduler/src/lib/jobs/RunStarter.ts
+++ b/packages/scheduler/src/lib/jobs/RunStarter.ts
@@ -1,5 +1,5 @@
 /**
- * Sends orders to workers once the decisions behind them are durable: starts of runs, and stops that the next duty holder has to know of.
+ * Sends orders to workers once the decisions behind them are durable: starts of runs, and stops that the next duty holder must know about.
  *
  * @module
  */
--- a/packages/scheduler/src/lib/jobs/RunTracker.ts
+++ b/packages/scheduler/src/lib/jobs/RunTracker.ts
@@ -60,7 +60,7 @@
     }
     for (const [key, listedRun] of running) {
       if (link.runs.has(key) || isSetAside(jobIdOfTask(listedRun.taskKey))) continue
-      // Placements are recorded before starts are sent, so the run was abandoned. It is stopped once more.
+      // Placements are recorded before starts are sent, so this run was closed before. It is stopped once more.
       log.warn({ taskKey: listedRun.taskKey, runNumber: listedRun.runNumber, instanceId: link.instance.instanceId }, 'stopping a run that the worker lists but that has no record')
       void orders.stop(link.instance, listedRun, fencingToken)
     }
--- a/packages/scheduler/src/lib/machines/MachineDuty.ts
+++ b/packages/scheduler/src/lib/machines/MachineDuty.ts
@@ -68,7 +68,7 @@
 const ORDER_RETRY_MS = 1000
 /** How far the list of machines may lag behind an order. */
 const LIST_LAG_MS = 400
-/** A move is abandoned if the machine is not drained within this time. */
+/** A move is given up if the machine is not drained within this time. */
 const MOVE_DRAIN_TIMEOUT_MS = 3000
 
 /** Runs the machine duty: drains machines, orders maintenance and moves, and reports workers whose machine is lost. @public */
--- a/packages/scheduler/src/lib/machines/OrderCooldowns.ts
+++ b/packages/scheduler/src/lib/machines/OrderCooldowns.ts
@@ -54,7 +54,7 @@
     this.#lastOrderMs.set(machineId, Infinity)
   }
 
-  /** Starts the cooldown of an order that was answered or abandoned. @param machineId - the ordered machine @param nowMs - monotonic time */
+  /** Starts the cooldown of an order that was answered, or was not sent after all. @param machineId - the ordered machine @param nowMs - monotonic time */
   endOrder (machineId: string, nowMs: number): void {
     this.#lastOrderMs.set(machineId, nowMs)
   }
--- a/packages/scheduler/src/lib/machines/PoolBalancer.ts
+++ b/packages/scheduler/src/lib/machines/PoolBalancer.ts
@@ -51,7 +51,7 @@
   plan (snapshot: PoolSnapshot, nowMs: number): PoolMove[] {
     this.#firstPlanMs ??= nowMs
     const { demands } = snapshot
-    const view: PoolPlanningInput = {
+    const input: PoolPlanningInput = {
       ...snapshot,
       unusableMachines: this.#findUnusable(snapshot, nowMs),
       isRefused: (machineId, pool) => this.#refused.has(`${machineId} ${pool}`),
@@ -60,9 +60,9 @@
       maxMoves: this.#takeMoveBudget(nowMs),
       mayReleaseMachines: nowMs - this.#firstPlanMs > NEED_WINDOW_MS
     }
-    const counts = countPools(view)
+    const counts = countPools(input)
     this.#shortages.logChanges(counts, nowMs)
-    return planPools(view, counts)
+    return planPools(input, counts)
   }
 
   /** Finds machines that have been up for {@link UNUSABLE_AFTER_MS} without a usable worker: it is unreachable, about to end or unknown. */
--- a/packages/scheduler/src/lib/machines/machineDutyRecord.ts
+++ b/packages/scheduler/src/lib/machines/machineDutyRecord.ts
@@ -36,7 +36,7 @@
   waves: z.array(waveSchema),
   /** Machines that holders ordered recently, whatever the outcome; hosts of the previous software version read only these ids. */
   ordered: z.array(z.string()).default([]),
-  /** Remaining cooldown of each of them. Hosts of the previous software version do not write it, and they forget earlier holders' orders. */
+  /** Remaining cooldown of each of them. Hosts of the previous software version do not write it, and they forget previous holders' orders. */
   pausesMs: z.record(z.string(), z.number()).optional(),
   /** Remaining cooldown of all machines, set if such a host held the duty recently. */
   allPausedMs: z.number().default(0)
--- a/packages/scheduler/src/lib/workers/EndedLifetimes.ts
+++ b/packages/scheduler/src/lib/workers/EndedLifetimes.ts
@@ -2,7 +2,7 @@
  * Remembers which worker lifetimes have ended although they may still be registered.
  *
  * A worker may restart under its id before its registration has lapsed, so the records are kept per lifetime: a superseded lifetime by its
- * own id, and the lifetimes of a worker whose machine was down by their time of birth.
+ * own id, and the lifetimes of a worker whose machine was down by the time at which they began.
  *
  * @module
  */
@@ -19,7 +19,7 @@
  * The machine list may lag, and the clocks of hosts and workers may step by some seconds. A lifetime younger than this when the list was
  * requested may have begun after the machine was down, so only its own answers decide whether it has ended.
  */
-const BIRTH_TIME_MARGIN_MS = 6000
+const LIFETIME_START_MARGIN_MS = 6000
 
 /**
  * Tells whether a machine list shows that a lifetime has ended.
@@ -30,8 +30,8 @@
  * @public
  */
 export function isEndedByMachineList (instanceId: string, listedWallMs: number): boolean {
-  const bornMs = lifetimeStartMsOf(instanceId)
-  return bornMs === undefined || bornMs + BIRTH_TIME_MARGIN_MS <= listedWallMs
+  const startMs = lifetimeStartMsOf(instanceId)
+  return startMs === undefined || startMs + LIFETIME_START_MARGIN_MS <= listedWallMs
 }
 
 /** Records ended worker lifetimes and why they ended. @public */
@@ -88,8 +88,8 @@
       for (const instanceId of instanceIds) if (!isRegistered(instanceId)) instanceIds.delete(instanceId)
     }
     const prunedIds = [...this.#machineDownMs].flatMap(([workerId, listedMs]) => {
-      const present = lifetimes.get(workerId)
-      const isNeeded = registeredIds.has(workerId) && (present === undefined || isEndedByMachineList(present, listedMs))
+      const current = lifetimes.get(workerId)
+      const isNeeded = registeredIds.has(workerId) && (current === undefined || isEndedByMachineList(current, listedMs))
       return isNeeded ? [] : [workerId]
     })
     for (const workerId of prunedIds) this.#machineDownMs.delete(workerId)
--- a/packages/scheduler/src/lib/workers/LeaseBounds.ts
+++ b/packages/scheduler/src/lib/workers/LeaseBounds.ts
@@ -12,13 +12,13 @@
   readonly bounds: () => { readonly maxLeaseMs: number, readonly stopMs: number }
   /** Knows the leases that previous holders granted. */
   readonly silentWorkers: Pick<SilentWorkers, 'previousLeaseMs' | 'havePreviousLeasesExpired'>
-  /** Monotonic time of the take-over, from which leases of previous holders are counted. */
+  /** Monotonic time of the takeover, from which leases of previous holders are counted. */
   readonly tookOverMs: number
 }
 
 /** Highest share of the longest lease that a worker accepts. */
 const MAX_LEASE_RATIO = 0.8
-/** Outlasts a take-over or a network cut of the usual 5.5 s; every further second delays the tasks of lost workers. */
+/** Outlasts a takeover or a network cut of the usual 5.5 s; every further second delays the tasks of lost workers. */
 const MAX_LEASE_MS = 6500
 /** Added to the end of a lease before its runs count as ended, because timers may fire late on both sides. */
 const LEASE_END_SLACK_MS = 300
--- a/packages/scheduler/src/lib/workers/RunLossHandler.ts
+++ b/packages/scheduler/src/lib/workers/RunLossHandler.ts
@@ -32,7 +32,7 @@
   readonly onWorkerLost: (loss: WorkerLoss) => void
   /** Called for each run that is lost with its worker. */
   readonly onLost: (run: Run, evidence: LossEvidence) => void
-  /** Called for each run that was found on the next lifetime of its worker. */
+  /** Called for each run that the next lifetime of its worker turns out to run. */
   readonly onMoved: (run: Run) => void
 }
 
@@ -54,7 +54,7 @@
     return this.#unresolved.has(instanceId)
   }
 
-  /** Adds a run of an ended lifetime; a previous holder's order may have reached the present lifetime. @param run - the recorded run */
+  /** Adds a run of an ended lifetime; a previous holder's order may have reached the current lifetime. @param run - the recorded run */
   addUnresolved (run: Run): void {
     this.#unresolved.add(run, this.#unresolvedStateOf(WORKER_RESTARTED, { mayArrive: false, loss: this.#lossOf(run.instanceId, undefined, WORKER_RESTARTED) }))
   }
@@ -85,10 +85,10 @@
   }
 
   /**
-   * Resolves runs by the report of a worker's present lifetime. Runs whose start may still arrive there are stopped, which keeps them from
+   * Resolves runs by the report of a worker's current lifetime. Runs whose start may still arrive there are stopped, which keeps them from
    * starting.
    *
-   * @param link - link to the present lifetime
+   * @param link - link to the current lifetime
    * @param report - its report
    * @param askedMs - monotonic time when the report was requested
    */
@@ -102,7 +102,7 @@
       if (run.phase !== 'stopping') run.phase = 'unconfirmed'
       this.#options.onMoved(run)
     }
-    // It is not known whether the former lifetime had started these runs, so its end counts for their tasks.
+    // It is not known whether the previous lifetime had started these runs, so its end counts for their tasks.
     this.#reportWorkerLosses(mayStillArrive)
     for (const { run } of mayStillArrive) void link.stop(run)
     this.#loseUnresolved(lost)
@@ -129,7 +129,7 @@
   #unresolvedStateOf (reason: string, details: Pick<UnresolvedState, 'mayArrive' | 'loss'>): UnresolvedState {
     const { clock, leases } = this.#options
     const sinceMs = clock.monotonicMs()
-    // A start order's lease end is on the former lifetime's clock; on the next one's it may be a longer lease than the worker accepts.
+    // A start order's lease end is on the previous lifetime's clock; on the next one's it may be a longer lease than the worker accepts.
     const lastsMs = reason === MACHINE_GONE ? ORDERS_IN_FLIGHT_MS : leases.longestWorkerLeaseMs
     return { ...details, sinceMs, untilMs: sinceMs + lastsMs }
   }
--- a/packages/scheduler/src/lib/workers/SilentWorkers.ts
+++ b/packages/scheduler/src/lib/workers/SilentWorkers.ts
@@ -2,7 +2,7 @@
  * Records workers that are silent while they have runs, so that the record survives a change of the duty's holder.
  *
  * A holder that never reached a worker must wait until every lease that previous holders granted there has expired. If the wait counted
- * from its own take-over alone, it would restart with each holder, and a series of take-overs would never let it end. So a holder records
+ * from its own takeover alone, it would restart with each holder, and a series of takeovers would never let it end. So a holder records
  * the workers that it cannot reach, each with a timer: a key of the store under a lease that lasts as long as the worker's leases may.
  * The next holder waits for the timer only.
  *
@@ -60,7 +60,7 @@
 /** Pause after a failed attempt: scheduling rounds come every few ms, too often to retry on a store that refuses writes. */
 const TIMER_RETRY_DELAY_MS = 500
 
-/** Maintains the record of silent workers and follows the timers of previous holders. @public */
+/** Maintains the record of silent workers and polls the timers of previous holders. @public */
 export class SilentWorkers {
   readonly #options: SilentWorkersOptions
   /** Intended content of the record: timer names by worker. */
--- a/packages/scheduler/src/lib/workers/UnresolvedRuns.ts
+++ b/packages/scheduler/src/lib/workers/UnresolvedRuns.ts
@@ -1,8 +1,8 @@
 /**
  * Tracks runs whose start order may have reached the next lifetime of their worker.
  *
- * An order names the worker, not the lifetime, so an order that is in flight while the worker restarts is carried out by the new lifetime.
- * Such a run is not placed elsewhere until the new lifetime has reported what it runs, or every lease it may hold has expired.
+ * An order names the worker, not the lifetime, so an order that is in flight while the worker restarts is carried out by the next lifetime.
+ * Such a run is not placed elsewhere until the next lifetime has reported what it runs, or every lease it may hold has expired.
  *
  * @module
  */
@@ -19,20 +19,20 @@
   readonly untilMs: number
   /** Whether an order to start the run may still be in flight. */
   readonly mayArrive: boolean
-  /** The end of the former lifetime; counts as a crash under the run's task if the run was on that lifetime. */
+  /** The end of the previous lifetime; counts as a crash under the run's task if the run was on that lifetime. */
   readonly loss: Omit<WorkerLoss, 'runs'>
 }
 
 /** A run with its unresolved state. @public */
 export interface UnresolvedRun { readonly run: Run, readonly runState: UnresolvedState }
 
-/** Unresolved runs, sorted by what the report of a new lifetime shows about them. @public */
+/** Unresolved runs, sorted by what the report of the next lifetime shows about them. @public */
 export interface ResolvedRuns {
-  /** The new lifetime lists the run. */
+  /** The next lifetime lists the run. */
   readonly reported: readonly Run[]
   /** Not listed, but the start order may still arrive. */
   readonly mayStillArrive: readonly UnresolvedRun[]
-  /** Ended with the former lifetime. */
+  /** Ended with the previous lifetime. */
   readonly lost: readonly UnresolvedRun[]
 }
 
@@ -56,9 +56,9 @@
   }
 
   /**
-   * Resolves runs by the report of their worker's present lifetime.
+   * Resolves runs by the report of their worker's current lifetime.
    *
-   * @param link - link to the present lifetime
+   * @param link - link to the current lifetime
    * @param report - its report
    * @param askedMs - monotonic time when the report was requested
    * @returns the resolved runs
--- a/packages/scheduler/src/lib/workers/WorkerClock.ts
+++ b/packages/scheduler/src/lib/workers/WorkerClock.ts
@@ -10,7 +10,7 @@
 /** Responses may be processed late and out of order. */
 const LATE_READING_TOLERANCE_MS = 1000
 
-/** Bounds the present reading of one worker's clock. @public */
+/** Estimates the current reading of one worker's clock, from below and above. @public */
 export class WorkerClock {
   #readingMs: number | undefined
   #readingTakenMs = 0
--- a/packages/scheduler/src/lib/workers/WorkerLink.ts
+++ b/packages/scheduler/src/lib/workers/WorkerLink.ts
@@ -72,8 +72,8 @@
   #pendingRemoval: Promise<void> | undefined
   /** Whether a call has failed since the last answered hold, so that the next answer may come from the next lifetime. */
   #mayBeNextLifetime = false
-  /** Time of birth, from the registration or else from the first answer. */
-  #bornMs: number | undefined
+  /** Unix time at which the lifetime began, from the registration or else from the first answer. */
+  #lifetimeStartMs: number | undefined
   /** Runs whose start this lifetime has confirmed. */
   readonly #confirmedRuns = new WeakSet<Run>()
 
@@ -82,7 +82,7 @@
     this.instance = instance
     this.#options = options
     this.openedMs = options.clock.monotonicMs()
-    this.#bornMs = lifetimeStartMsOf(instance.instanceId)
+    this.#lifetimeStartMs = lifetimeStartMsOf(instance.instanceId)
     // Many pending orders listen to this signal at a time.
     setMaxListeners(0, this.#stop.signal)
   }
@@ -197,8 +197,8 @@
 
   #isOtherLifetime ({ lifetimeStartMs: bornMs }: HoldReport): boolean {
     if (bornMs === undefined) return false
-    this.#bornMs ??= bornMs
-    return bornMs !== this.#bornMs
+    this.#lifetimeStartMs ??= bornMs
+    return bornMs !== this.#lifetimeStartMs
   }
 
   /** Extends the lease. @param nowMs - monotonic time @returns the new end of the lease, `undefined` if none may be granted */
--- a/packages/scheduler/src/lib/workers/WorkerTracker.ts
+++ b/packages/scheduler/src/lib/workers/WorkerTracker.ts
@@ -35,7 +35,7 @@
   readonly onLost: (run: Run, evidence: LossEvidence) => void
   /** Called when it no longer matters that a worker's machine was down. */
   readonly onMachineDownForgotten: (workerId: WorkerId) => void
-  /** Called for each run that was found on the next lifetime of its worker. */
+  /** Called for each run that the next lifetime of its worker turns out to run. */
   readonly onMoved: (run: Run) => void
   /** Called when capacity or runs have changed. */
   readonly onChange: () => void
@@ -207,7 +207,7 @@
     this.#lossHandler.loseExpired(nowMs)
   }
 
-  /** Records the workers that do not answer, for the next holder at a planned hand-over. @param nowMs - monotonic time */
+  /** Records the workers that do not answer, for the next holder at a planned handover. @param nowMs - monotonic time */
   async recordSilentWorkers (nowMs: number): Promise<void> {
     await this.#options.silentWorkers.whenIdle()
     await this.#options.silentWorkers.recordSilent(this.#silentWorkersWithRuns(HOLD_WAIT_MS + RESPONSE_MARGIN_MS, RESPONSE_MARGIN_MS, nowMs))
@@ -225,7 +225,7 @@
 
   /**
    * Computes the time until all leases of a lifetime have surely expired: leases of this holder by the worker's clock, leases of previous
-   * holders by the timer that they left, or else by the longest lease that they may have granted until the take-over.
+   * holders by the timer that they left, or else by the longest lease that they may have granted until the takeover.
    *
    * @param instanceId - id of the lifetime
    * @param nowMs - monotonic time
@@ -291,7 +291,7 @@
       return
     }
     if (link !== undefined) {
-      // The former lifetime may write its registration late.
+      // The previous lifetime may write its registration late.
       if (!isNextLifetime(instanceId, link.instance.instanceId)) return
       this.#endedLifetimes.recordSuperseded(link.instance.instanceId)
       this.#endLifetime(link, WORKER_RESTARTED)
--- a/packages/scheduler/src/test/CrashTracker.test.ts
+++ b/packages/scheduler/src/test/CrashTracker.test.ts
@@ -128,7 +128,7 @@
   task, taskKey: task.key, runNumber: 1, instanceId: 'w', phase, placedMs: startedMs, startedMs, stopConfirmedMs: undefined, isUncertain: false, shouldStop: false, lastListedMs: 0, percent: 0, progressMs: 0, pacePercent: 100, load: 0
 })
 
-describe('CrashBook', () => {
+describe('CrashTracker', () => {
   for (const { name, steps, expected } of cases) {
     it(`decides whether to give up a task: ${name}`, () => {
       const tasks = new Tasks()
--- a/packages/scheduler/src/test/LastSeenWorkers.test.ts
+++ b/packages/scheduler/src/test/LastSeenWorkers.test.ts
@@ -12,7 +12,7 @@
 const A = { key: sightingsKey('a'), value: '{"m1":"i-1","m2":"i-2"}' }
 const B = { key: sightingsKey('b'), value: '{"m3":"i-3"}' }
 
-describe('SightingRecord', () => {
+describe('LastSeenWorkers', () => {
   const cases = [
     { name: 'all pools at first', list: LIST, atMs: 0, expected: [A, B] },
     { name: 'nothing within the minimum interval', list: [machine('m1', 'a', 'i-9')], atMs: 290, expected: [] },
--- a/packages/scheduler/src/test/MachineDrainer.test.ts
+++ b/packages/scheduler/src/test/MachineDrainer.test.ts
@@ -5,7 +5,7 @@
 import type { WorkerLink } from '../lib/workers/WorkerLink.js'
 import { TestLog } from './TestService.js'
 
-describe('MachineVacator', () => {
+describe('MachineDrainer', () => {
   const link = { instance: { machineId: 'm1' }, runs: new Map() } as unknown as WorkerLink
   const cases = [
     { name: 'an idle worker', links: [link], hasOrphanedRuns: false, isReported: true },
--- a/packages/scheduler/src/test/MachineLossDetector.test.ts
+++ b/packages/scheduler/src/test/MachineLossDetector.test.ts
@@ -10,7 +10,7 @@
 const DOWN = listOf('down', '')
 const ABSENT: List = new Map()
 
-describe('MachineWatch', () => {
+describe('MachineLossDetector', () => {
   const cases: ReadonlyArray<{ name: string, lists: readonly List[], expected: readonly string[] }> = [
     { name: 'a machine that stays up', lists: [UP, UP], expected: [] },
     { name: 'a machine that goes down', lists: [UP, DOWN, DOWN], expected: ['i-1'] },
--- a/packages/scheduler/src/test/MonitoredStore.test.ts
+++ b/packages/scheduler/src/test/MonitoredStore.test.ts
@@ -59,7 +59,7 @@
     { name: 'an answer that the history is gone, which counts as an answer', events: [...begin('a'), ...after(900), ...end(LOST_TWICE, 'a'), ...begin('b'), ...end(HISTORY_GONE, 'b')], isUnresponsive: false }
   ]
   for (const { name, events, isUnresponsive } of cases) {
-    it(`${isUnresponsive ? 'silent' : 'not silent'}: ${name}`, async () => {
+    it(`${isUnresponsive ? 'unresponsive' : 'responsive'}: ${name}`, async () => {
       let nowMs = 0
       const held = new ManualStore()
       const store = new MonitoredStore(held, { monotonicMs: () => nowMs, wallMs: () => nowMs, latestMs: () => nowMs })
--- a/packages/scheduler/src/test/OrderCooldowns.test.ts
+++ b/packages/scheduler/src/test/OrderCooldowns.test.ts
@@ -54,7 +54,7 @@
   }
 ]
 
-describe('OrderPauses', () => {
+describe('OrderCooldowns', () => {
   for (const { name, setUp: act, atMs, left, allLeftMs = 0, isCoolingDown } of cases) {
     it(name, () => {
       const cooldowns = new OrderCooldowns(() => COOLDOWN_MS)
--- a/packages/scheduler/src/test/WorkerLink.test.ts
+++ b/packages/scheduler/src/test/WorkerLink.test.ts
@@ -74,7 +74,7 @@
     expect(worker.leasesGranted).to.equal(0)
   })
 
-  it('grants a lease as soon as the silence record is removed, even if the removal took long', async () => {
+  it('grants a lease as soon as the worker is no longer recorded as silent, even if the removal took long', async () => {
     worker = new FakeWorker()
     worker.isRecorded = true
     let removedMs = Infinity
@@ -88,7 +88,7 @@
     expect((first?.atMs ?? Infinity) - removedMs).to.be.below(400)
   })
 
-  it('polls with pauses when the silence record is never removed', async () => {
+  it('polls with pauses while the worker stays recorded as silent', async () => {
     worker = new FakeWorker()
     worker.isRecorded = true
     worker.onRemoveRecord = () => Promise.resolve()
--- a/packages/scheduler/src/test/restartedWorkers.test.ts
+++ b/packages/scheduler/src/test/restartedWorkers.test.ts
@@ -1,6 +1,6 @@
 /**
  * Guards against workers that restart under their id and are never used again, while jobs wait that they could run. The scheduler keeps
- * state of the former lifetime (runs, registrations, clocks, fences, silence, machine lists), which must not be applied to the new one.
+ * state of the previous lifetime (runs, registrations, clocks, fencing tokens, silence, machine lists), which must not be applied to the new one.
  */
 import { expect } from 'chai'
 import { delay } from '@quillscale/utils'
@@ -45,7 +45,7 @@
   })
 
   interface Case {
-    /** The state of the former lifetime that must not affect the new one. */
+    /** The state of the previous lifetime that must not affect the new one. */
     readonly staleState: string
     /** Run time of the first job's tasks. */
     readonly runMs: number
@@ -73,7 +73,7 @@
   }
 
   const cases: readonly Case[] = [
-    { staleState: 'runs: a run that ended with the former lifetime', runMs: 300, triggerRestart: restart },
+    { staleState: 'runs: a run that ended with the previous lifetime', runMs: 300, triggerRestart: restart },
     { staleState: 'runs: a long-running one', runMs: 0, isLasting: true, triggerRestart: restart },
     {
       staleState: 'runs: the new lifetime answers but is not registered yet',
@@ -86,7 +86,7 @@
       }
     },
     {
-      staleState: 'registrations: the former lifetime writes its registration late',
+      staleState: 'registrations: the previous lifetime writes its registration late',
       runMs: 300,
       triggerRestart: async (worker, tenure) => {
         const own = service
@@ -98,7 +98,7 @@
       }
     },
     {
-      staleState: 'ends: the former lifetime had many, the new one numbers them from 1',
+      staleState: 'ends: the previous lifetime had many, the new one numbers them from 1',
       runMs: 20,
       prepare: () => { void service.submit(9, { runMs: 5 }, [{ taskCount: 30 }]) },
       triggerRestart: async (worker, tenure) => {
@@ -176,7 +176,7 @@
   ]
 
   for (const { staleState, runMs, isLasting = false, prepare, triggerRestart } of cases) {
-    it(`do not inherit the state of the former lifetime: ${staleState}`, async () => {
+    it(`do not inherit the state of the previous lifetime: ${staleState}`, async () => {
       service = new TestService(1, CPU_MILLIS, BORN_MS)
       service.maxLeaseMs = 10_000
       const first = await service.takeOver()
--- a/packages/scheduler/src/test/shrinkingWorkers.test.ts
+++ b/packages/scheduler/src/test/shrinkingWorkers.test.ts
@@ -35,7 +35,7 @@
 
 const cases: readonly Case[] = [
   {
-    name: 'a task that fits only the former capacity waits and starts once it fits',
+    name: 'a task that fits only the previous capacity waits and starts once it fits',
     play: async (fleet) => {
       fleet.resize(REDUCED_MILLIS)
       await delay(REGISTRATION_DELAY_MS)
--- a/packages/scheduler/src/test/takeOvers.test.ts
+++ b/packages/scheduler/src/test/takeOvers.test.ts
@@ -30,7 +30,7 @@
   { how: 'is killed', end: async ({ scheduler }) => scheduler.close() }
 ]
 
-describe('a series of take-overs', () => {
+describe('a series of takeovers', () => {
   let service: TestService
   afterEach(() => service.close())
 
@@ -71,7 +71,7 @@
       for (let number = 0; number < takeOvers; number++) {
         await end(tenure)
         tenure = await service.takeOver()
-        expect(isBack(), `back before take-over ${number + 1}`).to.equal(false)
+        expect(isBack(), `back before takeover ${number + 1}`).to.equal(false)
         await delay(tenureMs)
       }
       await service.until('it runs again', isBack)
@@ -193,8 +193,8 @@
   }).timeout(30_000)
 
   const changes = [
-    { name: 'before a take-over', change: async () => { service.maxLeaseMs = 2000 }, then: async () => {} },
-    { name: 'after a take-over', change: async () => {}, then: async () => { service.maxLeaseMs = 2000 } }
+    { name: 'before a takeover', change: async () => { service.maxLeaseMs = 2000 }, then: async () => {} },
+    { name: 'after a takeover', change: async () => {}, then: async () => { service.maxLeaseMs = 2000 } }
   ]
   for (const { name, change, then } of changes) {
     it(`waits for the lease duration at the time of the grant, even if the settings are shortened ${name}`, async () => {
@@ -245,7 +245,7 @@
 const SEEDS = process.env.FUZZ_SEED === undefined ? [21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32] : [Number(process.env.FUZZ_SEED)]
 const WORKERS = 4
 const TASKS = 6
-/** Results in leases of 4.8 s, so that several silences and take-overs occur while a lease is active. */
+/** Results in leases of 4.8 s, so that several silences and takeovers occur while a lease is active. */
 const SERIES_MAX_LEASE_MS = 6000
 const SERIES_MS = 20_000
 const MEAN_GAP_MS = 250
@@ -254,7 +254,7 @@
 const ORDERS_PAUSE_MS = 1500
 const MOST_JOBS = 12
 
-/** Exposes one service to frequent planned and unplanned take-overs while workers become silent and the store loses answers. */
+/** Exposes one service to frequent planned and unplanned takeovers while workers become silent and the store loses answers. */
 class TakeOverFuzz {
   readonly service = new TestService(WORKERS)
   readonly #random: SeededRandom
@@ -321,7 +321,7 @@
 
   async #takeOver (): Promise<void> {
     const tenure = this.service.tenures.at(-1)
-    // Some holders are not stopped and continue until they notice the take-over.
+    // Some holders are not stopped and continue until they notice the takeover.
     const isStopped = this.#random.next() < 0.8
     if (tenure !== undefined && isStopped) await this.#random.pick(endings).end(tenure)
     if (tenure !== undefined) tenure.holdsDuty = false
