--- a/packages/policy/src/lib/duties/dutyClaimDelayMs.ts
+++ b/packages/policy/src/lib/duties/dutyClaimDelayMs.ts
@@ -3,8 +3,8 @@
  *
  * When several duties become vacant at once while some hosts are partitioned, weak hosts must not win them: a scheduler on a host with a quarter
  * of the others' capacity placed 20 to 180 tasks a second instead of 1,500, and its service's backlog grew for 11 s. A strong host with some
- * duties therefore goes before a weak one without any. Each delay counts from when its own duty became vacant; when it restarted with each other
- * duty that was claimed, the fourth of four duties stayed vacant for 3.6 s.
+ * duties therefore goes before a weak one without any. Each delay counts from when its own duty became vacant: when each claim of another duty
+ * restarted the delay, the fourth of four duties stayed vacant for 3.6 s.
  *
  * @module
  */
--- a/packages/policy/src/lib/jobs/RunTimeEstimator.ts
+++ b/packages/policy/src/lib/jobs/RunTimeEstimator.ts
@@ -21,15 +21,15 @@
   /** @param step - the step whose task ended `done` @param tookMs - time since its start */
   addSample (step: StepSpec, tookMs: number): void {
     if (step.image === '' || step.isLasting) return
-    const known = this.#images.get(step.image)
-    if (known === undefined) {
+    const estimate = this.#images.get(step.image)
+    if (estimate === undefined) {
       this.#images.set(step.image, { meanMs: tookMs, samples: 1 })
       const oldest = this.#images.keys().next()
       if (this.#images.size > MAX_IMAGES && oldest.done !== true) this.#images.delete(oldest.value)
       return
     }
-    known.samples++
-    known.meanMs += (tookMs - known.meanMs) * Math.max(SAMPLE_WEIGHT, 1 / known.samples)
+    estimate.samples++
+    estimate.meanMs += (tookMs - estimate.meanMs) * Math.max(SAMPLE_WEIGHT, 1 / estimate.samples)
   }
 
   /** @param step - a step @returns the expected run time of one of its tasks */
--- a/packages/policy/src/lib/jobs/crashes.ts
+++ b/packages/policy/src/lib/jobs/crashes.ts
@@ -1,5 +1,5 @@
 /**
- * Detects tasks that crash the workers that start them, and decides when to give such a task up.
+ * Detects tasks that crash the workers that start them, and decides when to give up such a task.
  *
  * A task that crashes its worker within milliseconds is never reported as failed, so the limit on attempts does not bound it. One such task
  * was started 117 times in a minute, and every run beside it was lost with each worker.
--- a/packages/policy/src/lib/jobs/rankStep.ts
+++ b/packages/policy/src/lib/jobs/rankStep.ts
@@ -35,21 +35,21 @@
   readonly startByMs: number
 }
 
-/** @param job - a job @param times - learned run times @param isLeft - which steps count @returns the length of its critical path */
-function criticalPathMs (job: Job, times: RunTimeEstimator, isLeft: (stepIndex: number) => boolean): number {
+/** @param job - a job @param runTimes - learned run times @param isLeft - which steps count @returns the length of its critical path */
+function criticalPathMs (job: Job, runTimes: RunTimeEstimator, isLeft: (stepIndex: number) => boolean): number {
   const endMs: number[] = []
   job.spec.steps.forEach((step, index) => {
     const startMs = Math.max(0, ...step.dependsOn.map((earlier) => endMs[earlier] ?? 0))
-    endMs[index] = startMs + (isLeft(index) ? times.expectedMs(step) : 0)
+    endMs[index] = startMs + (isLeft(index) ? runTimes.expectedMs(step) : 0)
   })
   return Math.max(0, ...endMs)
 }
 
 /** Sums the work of the tasks that satisfy a condition; steps whose tasks are not created yet count in full. */
-function sumWork (job: Job, steps: readonly Task[][], times: RunTimeEstimator, isCounted: (task: Task) => boolean): number {
+function sumWork (job: Job, steps: readonly Task[][], runTimes: RunTimeEstimator, isCounted: (task: Task) => boolean): number {
   return job.spec.steps.reduce((sum, step, index) => {
     const tasks = steps[index]?.filter(isCounted).length ?? step.taskCount
-    return sum + (step.isLasting ? 0 : tasks * step.cpuMillis * times.expectedMs(step))
+    return sum + (step.isLasting ? 0 : tasks * step.cpuMillis * runTimes.expectedMs(step))
   }, 0)
 }
 
@@ -58,22 +58,22 @@
  *
  * @param task - a waiting task of the step
  * @param queue - the job's queue, `undefined` if it was removed
- * @param times - learned run times
+ * @param runTimes - learned run times
  * @param wallMs - current wall-clock time
  * @returns the rank of the step
  * @public
  */
-export function rankStep (task: Task, queue: QueueConfiguration | undefined, times: RunTimeEstimator, wallMs: number): StepRank {
+export function rankStep (task: Task, queue: QueueConfiguration | undefined, runTimes: RunTimeEstimator, wallMs: number): StepRank {
   const { job } = task
   const step = stepOf(task)
   const priority = queue?.priority ?? Number.MAX_SAFE_INTEGER
   const startMs = dueMs(job, task.occurrence)
   if (step.isLasting) return { tier: step.isFiller ? RANK_TIERS.filler : RANK_TIERS.lasting, priority, placedShare: 0, workLeft: 0, startByMs: startMs }
   const steps = job.occurrences.get(task.occurrence) ?? []
-  const objectiveMs = (queue?.stretch ?? 1) * criticalPathMs(job, times, () => true) + (queue?.targetLatencyMs ?? 0)
-  const leftMs = criticalPathMs(job, times, (index) => steps[index]?.every(({ isDone }) => isDone) !== true)
-  const workLeft = sumWork(job, steps, times, ({ isDone, runs }) => !isDone && runs.length === 0)
-  const placedShare = 1 - workLeft / Math.max(1, sumWork(job, steps, times, () => true))
+  const objectiveMs = (queue?.stretch ?? 1) * criticalPathMs(job, runTimes, () => true) + (queue?.targetLatencyMs ?? 0)
+  const leftMs = criticalPathMs(job, runTimes, (index) => steps[index]?.every(({ isDone }) => isDone) !== true)
+  const workLeft = sumWork(job, steps, runTimes, ({ isDone, runs }) => !isDone && runs.length === 0)
+  const placedShare = 1 - workLeft / Math.max(1, sumWork(job, steps, runTimes, () => true))
   const tier = tierOf(wallMs + leftMs, startMs, objectiveMs)
   return {
     tier: job.isOverShare && tier < RANK_TIERS.overShare ? RANK_TIERS.overShare : tier,
--- a/packages/policy/src/lib/machines/computeServiceDemand.ts
+++ b/packages/policy/src/lib/machines/computeServiceDemand.ts
@@ -41,14 +41,14 @@
       if (isLasting && maxPerWorker > 0) leastMachines = Math.max(leastMachines, Math.ceil(taskCount / maxPerWorker) + 1)
     }
   }
-  const open = workerViews.filter((workerView) => workerView.acceptsRuns && workerView.isAnswering(nowMs))
-  const sizes = open.map(({ instance }) => instance.capacity.cpuMillis)
+  const availableWorkers = workerViews.filter((workerView) => workerView.acceptsRuns && workerView.isAnswering(nowMs))
+  const sizes = availableWorkers.map(({ instance }) => instance.capacity.cpuMillis)
   return {
     service,
     wantedMillis: wanted.cpuMillis(),
     leastMachines,
     machineMillis: sizes.length === 0 ? DEFAULT_MACHINE_MILLIS : sizes.reduce((sum, size) => sum + size, 0) / sizes.length,
-    runsByMachine: new Map(open.filter(({ instance }) => instance.machineId !== '').map((workerView) => [workerView.instance.machineId, weightOf(workerView)]))
+    runsByMachine: new Map(availableWorkers.filter(({ instance }) => instance.machineId !== '').map((workerView) => [workerView.instance.machineId, weightOf(workerView)]))
   }
 }
 
@@ -57,7 +57,7 @@
 /** Sums the demand of unfinished tasks by account, and caps it at the account's limit. */
 class DemandByAccount {
   readonly #limitOf: DemandSources['limitOf']
-  readonly #wishes = new Map<AccountName | undefined, AccountDemand>()
+  readonly #demands = new Map<AccountName | undefined, AccountDemand>()
 
   constructor (limitOf: DemandSources['limitOf']) {
     this.#limitOf = limitOf
@@ -65,14 +65,14 @@
 
   add (first: Task, taskCount: number): void {
     const account = first.job.spec.owner?.account
-    const wish = this.#wishes.get(account) ?? { cpuMillis: 0, resources: NO_RESOURCES }
-    this.#wishes.set(account, wish)
-    wish.cpuMillis += cpuDemandOf(stepOf(first)) * taskCount
-    wish.resources = plus(wish.resources, times(resourcesOf(stepOf(first)), taskCount))
+    const demand = this.#demands.get(account) ?? { cpuMillis: 0, resources: NO_RESOURCES }
+    this.#demands.set(account, demand)
+    demand.cpuMillis += cpuDemandOf(stepOf(first)) * taskCount
+    demand.resources = plus(demand.resources, times(resourcesOf(stepOf(first)), taskCount))
   }
 
   cpuMillis (): number {
-    return [...this.#wishes].reduce((sum, [account, { cpuMillis, resources }]) => {
+    return [...this.#demands].reduce((sum, [account, { cpuMillis, resources }]) => {
       const limit = account === undefined ? undefined : this.#limitOf(account)
       const shares = limit === undefined ? [] : RESOURCE_KINDS.map((kind) => resources[kind] === 0 ? 1 : limit[kind] / resources[kind])
       return sum + Math.ceil(cpuMillis * Math.min(1, ...shares))
--- a/packages/policy/src/lib/machines/planDrain.ts
+++ b/packages/policy/src/lib/machines/planDrain.ts
@@ -5,7 +5,7 @@
  */
 import { stepOf, type Run, type Task } from '../jobs/JobState.js'
 
-/** Time for tasks that neither last nor checkpoint to finish before they are stopped; the longest declared tasks run 4.2 s. */
+/** Time that tasks get to finish before they are stopped, unless they are lasting or checkpointing; the longest declared tasks run 4.2 s. */
 const FINISH_TIMEOUT_MS = 4500
 /** Progress at which a lasting task is ready. */
 const READY_PERCENT = 100
@@ -43,11 +43,11 @@
  * @public
  */
 export function planDrain (runs: readonly Run[], sinceMs: number, nowMs: number): Run[] {
-  const passing = runs.filter((run) => {
+  const finiteRuns = runs.filter((run) => {
     const step = stepOf(run.task)
     return run.phase === 'running' && !step.isLasting && (step.isCheckpointing || nowMs - sinceMs > FINISH_TIMEOUT_MS)
   })
-  return [...passing, ...planLeavingWorkerDrain(runs, nowMs)]
+  return [...finiteRuns, ...planLeavingWorkerDrain(runs, nowMs)]
 }
 
 /**
@@ -59,12 +59,12 @@
  * @public
  */
 export function planLeavingWorkerDrain (runs: readonly Run[], nowMs: number): Run[] {
-  const touchedSteps = new Set<readonly Task[]>()
+  const disruptedSteps = new Set<readonly Task[]>()
   return runs.filter((run) => {
     if (run.phase !== 'running' || !stepOf(run.task).isLasting) return false
     const tasks = run.task.job.occurrences.get(run.task.occurrence)?.[run.task.stepIndex] ?? []
-    if (touchedSteps.has(tasks) || !isDisruptionAllowed(run.task, tasks, nowMs)) return false
-    touchedSteps.add(tasks)
+    if (disruptedSteps.has(tasks) || !isDisruptionAllowed(run.task, tasks, nowMs)) return false
+    disruptedSteps.add(tasks)
     return true
   })
 }
--- a/packages/policy/src/lib/machines/planPools.ts
+++ b/packages/policy/src/lib/machines/planPools.ts
@@ -48,7 +48,7 @@
   readonly predictedNeed: ReadonlyMap<string, number>
 }
 
-/** A lasting run must be moved, which its users notice; other runs just finish. @public */
+/** Weight of a lasting run among the runs of a machine: it must be moved, which its users notice, while other runs just finish. @public */
 export const LASTING_RUN_WEIGHT = 10
 
 /** Machines are added above this utilization, since tasks do not pack without gaps. */
--- a/packages/policy/src/lib/machines/planWave.ts
+++ b/packages/policy/src/lib/machines/planWave.ts
@@ -36,13 +36,13 @@
  * Chooses the machines to start draining now.
  *
  * @param input - current state
- * @param wholeSize - number of machines of the wave
+ * @param waveSize - number of machines of the wave
  * @returns machines to drain and then order for maintenance
  * @public
  */
-export function planWave (input: WavePlanningInput, wholeSize: number): string[] {
-  const openShare = (input.pendingMachineIds.length + input.inProgressMachineIds.length) / Math.max(1, wholeSize)
-  const isLate = input.remainingTimeShare - LATE_MARGIN < openShare
+export function planWave (input: WavePlanningInput, waveSize: number): string[] {
+  const remainingMachineShare = (input.pendingMachineIds.length + input.inProgressMachineIds.length) / Math.max(1, waveSize)
+  const isLate = input.remainingTimeShare - LATE_MARGIN < remainingMachineShare
   const unavailable = new Map<string, number>()
   for (const machineId of input.inProgressMachineIds) incrementUnavailable(unavailable, input.machines.get(machineId)?.pool)
   const chosen: string[] = []
--- a/packages/policy/src/lib/quotas/AccountTokenBuckets.ts
+++ b/packages/policy/src/lib/quotas/AccountTokenBuckets.ts
@@ -27,10 +27,10 @@
    * @returns whether the job is beyond the share
    */
   isOverShare (account: AccountName, weight: number, atMs: number): boolean {
-    const most = Math.max(1, weight * BURST_S)
-    const bucket = this.#buckets.get(account) ?? { jobs: most, atMs }
+    const capacity = Math.max(1, weight * BURST_S)
+    const bucket = this.#buckets.get(account) ?? { jobs: capacity, atMs }
     this.#buckets.set(account, bucket)
-    bucket.jobs = Math.min(most, bucket.jobs + weight * Math.max(0, atMs - bucket.atMs) / MS_PER_S)
+    bucket.jobs = Math.min(capacity, bucket.jobs + weight * Math.max(0, atMs - bucket.atMs) / MS_PER_S)
     bucket.atMs = Math.max(bucket.atMs, atMs)
     if (bucket.jobs < 1) return true
     bucket.jobs--
--- a/packages/policy/src/lib/quotas/QuotaAdmission.ts
+++ b/packages/policy/src/lib/quotas/QuotaAdmission.ts
@@ -49,8 +49,8 @@
   /** @param tasks - tasks of one step @returns whether the quota allows at least one of them, or the whole gang, to start */
   hasQuotaFor (tasks: readonly Task[]): boolean {
     const first = tasks[0]
-    const room = first === undefined ? undefined : this.#roomFor(first)
-    return first === undefined || room === undefined || fitsWithin(admissionUnitOf(first, tasks.length), room.left)
+    const quota = first === undefined ? undefined : this.#quotaLeftOf(first)
+    return first === undefined || quota === undefined || fitsWithin(admissionUnitOf(first, tasks.length), quota.left)
   }
 
   /**
@@ -61,40 +61,40 @@
    */
   admit (tasks: readonly Task[]): readonly Task[] {
     const first = tasks[0]
-    const room = first === undefined ? undefined : this.#roomFor(first)
-    if (first === undefined || room === undefined) return tasks
-    const chunk = admissionUnitOf(first, tasks.length)
-    if (!fitsWithin(chunk, room.limit)) {
+    const quota = first === undefined ? undefined : this.#quotaLeftOf(first)
+    if (first === undefined || quota === undefined) return tasks
+    const unit = admissionUnitOf(first, tasks.length)
+    if (!fitsWithin(unit, quota.limit)) {
       this.oversized.push(first)
       for (const task of tasks) this.held.add(task)
       return []
     }
     const isGang = stepOf(first).isGang
-    const count = isGang ? (fitsWithin(chunk, room.left) ? tasks.length : 0) : countFitting(resourcesOf(stepOf(first)), room.left, tasks.length)
-    this.#hold(room.account, tasks.slice(count), chunk)
+    const count = isGang ? (fitsWithin(unit, quota.left) ? tasks.length : 0) : countFitting(resourcesOf(stepOf(first)), quota.left, tasks.length)
+    this.#recordShortage(quota.account, tasks.slice(count), unit)
     return tasks.slice(0, count)
   }
 
   /** Deducts a task from its account's remaining quota. @param task - a placed task */
   consume (task: Task): void {
-    const room = this.#roomFor(task)
-    if (room !== undefined) this.#left.set(room.account, minus(room.left, resourcesOf(stepOf(task))))
+    const quota = this.#quotaLeftOf(task)
+    if (quota !== undefined) this.#left.set(quota.account, minus(quota.left, resourcesOf(stepOf(task))))
   }
 
-  #roomFor ({ job }: Task): QuotaLeft | undefined {
+  #quotaLeftOf ({ job }: Task): QuotaLeft | undefined {
     const account = job.spec.owner?.account
-    const room = account === undefined ? undefined : this.#accountQuotaOf(account)
-    if (account === undefined || room === undefined) return undefined
-    return { account, limit: room.limit, left: this.#left.get(account) ?? minus(room.usable, room.used) }
+    const quota = account === undefined ? undefined : this.#accountQuotaOf(account)
+    if (account === undefined || quota === undefined) return undefined
+    return { account, limit: quota.limit, left: this.#left.get(account) ?? minus(quota.usable, quota.used) }
   }
 
-  #hold (account: AccountName, tasks: readonly Task[], chunk: Resources): void {
+  #recordShortage (account: AccountName, tasks: readonly Task[], unit: Resources): void {
     const first = tasks[0]
     if (first === undefined) return
     for (const task of tasks) this.held.add(task)
-    const known = this.shortages.get(account)
+    const existing = this.shortages.get(account)
     const wanted = times(resourcesOf(stepOf(first)), tasks.length)
-    this.shortages.set(account, { wanted: plus(known?.wanted ?? NO_RESOURCES, wanted), first: known?.first ?? chunk })
+    this.shortages.set(account, { wanted: plus(existing?.wanted ?? NO_RESOURCES, wanted), first: existing?.first ?? unit })
   }
 }
 
--- a/packages/scheduler/src/lib/accounts/QuotaLedger.ts
+++ b/packages/scheduler/src/lib/accounts/QuotaLedger.ts
@@ -49,9 +49,9 @@
 const UNREADABLE_RECORD_WAIT_MS = 2000
 /** Steps remembered so that each is logged only once; the oldest are dropped. */
 const MAX_REMEMBERED_STEPS = 1000
-/** Other hosts may receive a configuration this much later, and a worker's clock may be slow by the share below. */
+/** Other hosts may receive a configuration this much later, and a worker's clock may run slow by the ratio below. */
 const CONFIGURATION_PROPAGATION_MS = 5000
-const MAX_CLOCK_DRIFT = 0.02
+const MAX_CLOCK_DRIFT_RATIO = 0.02
 /** Short, because tasks wait for changes of the records. */
 const WATCH_SPACING_MS = 10
 
@@ -200,7 +200,7 @@
     }
     const sinceMs = this.#removedSinceMs.get(service) ?? nowMs
     this.#removedSinceMs.set(service, sinceMs)
-    return nowMs - sinceMs > this.#options.longestLeaseMs() * (1 + MAX_CLOCK_DRIFT) + CONFIGURATION_PROPAGATION_MS
+    return nowMs - sinceMs > this.#options.longestLeaseMs() * (1 + MAX_CLOCK_DRIFT_RATIO) + CONFIGURATION_PROPAGATION_MS
   }
 
   #nextClaim (account: AccountName, { claim, plan }: ClaimState): QuotaClaim {
--- a/packages/scheduler/src/lib/duties/DutyElector.ts
+++ b/packages/scheduler/src/lib/duties/DutyElector.ts
@@ -19,7 +19,7 @@
 
 /** Does the work of a duty while this host holds it. @public */
 export interface DutyTask {
-  /** Works until {@link DutyTask.close} is called. A rejection makes the host give the duty up. */
+  /** Works until {@link DutyTask.close} is called. A rejection makes the host give up the duty. */
   run(): Promise<void>
   /** Stops immediately. */
   close(): void
@@ -175,11 +175,11 @@
    * @param dutyKey - key of the duty
    */
   withdraw (dutyKey: string): void {
-    const duty = this.#candidacies.get(dutyKey)
-    if (duty === undefined) return
+    const candidacy = this.#candidacies.get(dutyKey)
+    if (candidacy === undefined) return
     this.#candidacies.delete(dutyKey)
-    duty.task?.close()
-    duty.stop.abort()
+    candidacy.task?.close()
+    candidacy.stop.abort()
   }
 
   /** @returns the keys of all duties that this host competes for */
@@ -199,26 +199,26 @@
   }
 
   #handleTenureChange (dutyKey: string, fencingToken: number | undefined, createTask: (grant: DutyGrant) => DutyTask): void {
-    const duty = this.#candidacies.get(dutyKey)
-    if (duty === undefined) return
-    duty.task?.close()
-    duty.task = undefined
+    const candidacy = this.#candidacies.get(dutyKey)
+    if (candidacy === undefined) return
+    candidacy.task?.close()
+    candidacy.task = undefined
     this.#options.log.info({ dutyKey, fencingToken }, fencingToken === undefined ? 'duty given up' : 'duty taken')
     if (fencingToken === undefined) return
     const { clock, log } = this.#options
-    duty.task = createTask({
+    candidacy.task = createTask({
       dutyKey,
       fencingToken,
-      holdsDuty: () => duty.holder.grantAt(clock.latestMs())?.fencingToken === fencingToken,
+      holdsDuty: () => candidacy.holder.grantAt(clock.latestMs())?.fencingToken === fencingToken,
       onDeposed: () => {
         this.#earliestRetryMs.set(dutyKey, clock.monotonicMs() + DEPOSED_BACKOFF_MS)
-        void duty.holder.release()
+        void candidacy.holder.release()
       }
     })
-    duty.task.run().catch((error: unknown) => {
+    candidacy.task.run().catch((error: unknown) => {
       log.warn({ dutyKey, err: error }, 'duty task failed, releasing the duty')
-      duty.task?.close()
-      void duty.holder.release()
+      candidacy.task?.close()
+      void candidacy.holder.release()
     })
   }
 
--- a/packages/scheduler/src/lib/duties/ServiceScheduler.ts
+++ b/packages/scheduler/src/lib/duties/ServiceScheduler.ts
@@ -48,7 +48,7 @@
   readonly #options: ServiceSchedulerOptions
   readonly #registry: JobRegistry
   readonly #log: EventLog
-  readonly #times = new RunTimeEstimator()
+  readonly #runTimes = new RunTimeEstimator()
   readonly #adviceCache: PlacementAdviceCache
   readonly #drainer: MachineDrainer
   readonly #silentWorkers: SilentWorkers
@@ -81,7 +81,7 @@
     this.#registry = new JobRegistry({
       clock,
       log: options.log,
-      times: this.#times,
+      runTimes: this.#runTimes,
       maxAttemptsOf: (job) => configuration()?.queues.find(({ name }) => name === job.spec.queue)?.attempts ?? DEFAULT_ATTEMPTS,
       linkOf: (run) => this.#workers.linkOf(run),
       onChanged: (job) => this.#saveProgress(job),
@@ -118,7 +118,7 @@
       drainer: this.#drainer,
       weightOf: (account) => accountsOf(configuration()).weightOf(account),
       onRunRestored: (run) => this.#trackRun(run),
-      onGone: (workerId, report) => this.#workers.handleMachineDown(workerId, report)
+      onMachineDown: (workerId, report) => this.#workers.handleMachineDown(workerId, report)
     })
     this.#inboxReplica = createReplica(options.log, {
       store, clock, prefix: inboxPrefix(service), spacingMs: INBOX_INTERVAL_MS, onChange: (change) => this.#applyInboxChange(change)
@@ -349,7 +349,7 @@
       configuration,
       jobs: [...this.#registry.jobs.values()],
       workerViews: this.#workers.links,
-      runTimes: this.#times,
+      runTimes: this.#runTimes,
       advice: this.#adviceCache,
       accountQuotaOf: (account) => this.#ledger.quotaFor(account, nowMs),
       vacating: this.#drainer,
--- a/packages/scheduler/src/lib/jobs/FleetReport.ts
+++ b/packages/scheduler/src/lib/jobs/FleetReport.ts
@@ -124,9 +124,9 @@
 
 function explainJob (spec: JobSpec, row: ServiceRow, { progress, isCancelled, duties, quota }: JobRecords, wallMs: number): JobExplanation {
   const status = progress?.status ?? 'queued'
-  const isOver = hasEnded({ status })
-  const reasons = isOver ? [] : [...waitReasons(row, isCancelled, duties), ...quotaReasons(row.service, quota)]
-  const steps = isOver ? failureLines(progress?.failure) : spec.steps.map((_, index) => explainStep(spec, index, progress))
+  const hasJobEnded = hasEnded({ status })
+  const reasons = hasJobEnded ? [] : [...waitReasons(row, isCancelled, duties), ...quotaReasons(row.service, quota)]
+  const steps = hasJobEnded ? failureLines(progress?.failure) : spec.steps.map((_, index) => explainStep(spec, index, progress))
   const { jobId, queue, owner, submittedMs } = spec
   return { jobId, service: row.service, queue, account: owner?.account, status, ageMs: wallMs - submittedMs, lines: [...steps, ...reasons] }
 }
--- a/packages/scheduler/src/lib/jobs/InboxReader.ts
+++ b/packages/scheduler/src/lib/jobs/InboxReader.ts
@@ -28,7 +28,7 @@
   /** Called for each run that was placed by a previous duty holder and may still be running. */
   readonly onRunRestored: (run: Run) => void
   /** Called when the machine of a worker is reported as down or removed. */
-  readonly onGone: (workerId: WorkerId, report: MachineLossReport) => void
+  readonly onMachineDown: (workerId: WorkerId, report: MachineLossReport) => void
 }
 
 /** Applies changes of the inbox of a service to its job registry. @public */
@@ -38,7 +38,7 @@
   readonly #recordedProgress = new Map<JobId, KeyValue>()
   /** Jobs whose progress record cannot be decoded. */
   readonly #setAside = new Map<JobId, JobSpec>()
-  readonly #shares = new AccountTokenBuckets()
+  readonly #tokenBuckets = new AccountTokenBuckets()
 
   /** @param options - dependencies */
   constructor (options: InboxReaderOptions) {
@@ -71,11 +71,11 @@
    * @param change - records that were written or removed
    */
   applyChange ({ changed, removed }: PrefixChange): void {
-    const { service, drainer: vacator } = this.#options
+    const { service, drainer } = this.#options
     const prefix = inboxPrefix(service)
     for (const item of changed) {
       const subject = parseInboxKey(item.key, prefix)
-      if (subject.kind === 'vacate') vacator.request(subject.machineId, item.value)
+      if (subject.kind === 'vacate') drainer.request(subject.machineId, item.value)
     }
     for (const newSpec of this.#newJobs(changed)) this.#addJob(newSpec)
     // Cancellations and reports of lost machines come last: a listing may return them before the jobs that they refer to.
@@ -86,13 +86,13 @@
     }
     for (const key of removed) {
       const subject = parseInboxKey(key, prefix)
-      if (subject.kind === 'vacate') vacator.withdraw(subject.machineId)
+      if (subject.kind === 'vacate') drainer.withdraw(subject.machineId)
     }
   }
 
   #readMachineDown (workerId: WorkerId, item: KeyValue): void {
     const report = this.#options.records.read(item, decodeMachineLossReport)
-    if (report !== undefined) this.#options.onGone(workerId, report)
+    if (report !== undefined) this.#options.onMachineDown(workerId, report)
   }
 
   /** Returns new jobs in the order in which they were accepted; a listing of the inbox sorts them by id. */
@@ -110,7 +110,7 @@
 
   #isOverShare ({ owner, submittedMs }: JobSpec): boolean {
     const weight = owner === undefined ? undefined : this.#options.weightOf(owner.account)
-    return owner !== undefined && weight !== undefined && this.#shares.isOverShare(owner.account, weight, submittedMs)
+    return owner !== undefined && weight !== undefined && this.#tokenBuckets.isOverShare(owner.account, weight, submittedMs)
   }
 
   #addJob (spec: JobSpec): void {
--- a/packages/scheduler/src/lib/jobs/JobApi.ts
+++ b/packages/scheduler/src/lib/jobs/JobApi.ts
@@ -48,7 +48,7 @@
 /** Older counts are recomputed from the job records: the scheduler that publishes them is being replaced. */
 const MAX_COUNT_AGE_MS = 2500
 
-const STORE_SILENT: PlatformError = { kind: 'unavailable', detail: 'the store has not answered for a while and was not asked' }
+const STORE_UNRESPONSIVE: PlatformError = { kind: 'unavailable', detail: 'the store has not answered for a while and was not asked' }
 
 const RECORD_UNREADABLE: PlatformError = { kind: 'unavailable', detail: 'the record of the job in the store cannot be decoded' }
 
@@ -229,7 +229,7 @@
   async #retry<T> (deadlineMs: number, call: () => Promise<Result<T, PlatformError>>): Promise<RetryResult<T>> {
     const { clock, store } = this.#options
     const startMs = clock.monotonicMs()
-    if (store.isUnresponsive(startMs)) return { result: Err(STORE_SILENT), mayHaveEffect: false, tries: 0 }
+    if (store.isUnresponsive(startMs)) return { result: Err(STORE_UNRESPONSIVE), mayHaveEffect: false, tries: 0 }
     let lost = 0
     let delayMs = FIRST_RETRY_DELAY_MS
     for (let tries = 1; ; tries++) {
--- a/packages/scheduler/src/lib/jobs/JobRegistry.ts
+++ b/packages/scheduler/src/lib/jobs/JobRegistry.ts
@@ -35,7 +35,7 @@
 export interface JobRegistryOptions {
   readonly clock: Clock
   readonly log: EventLog
-  readonly times: RunTimeEstimator
+  readonly runTimes: RunTimeEstimator
   /** Returns the number of failed runs of one task after which its job fails. */
   readonly maxAttemptsOf: (job: Job) => number
   /** Returns the link to the worker on which a run was placed. */
@@ -160,7 +160,7 @@
     const nowMs = this.#options.clock.monotonicMs()
     if (outcome === 'done') {
       link?.health.succeeded()
-      if (run.startedMs !== undefined) this.#options.times.addSample(stepOf(run.task), nowMs - run.startedMs)
+      if (run.startedMs !== undefined) this.#options.runTimes.addSample(stepOf(run.task), nowMs - run.startedMs)
     }
     if (outcome !== 'failed' || link === undefined || stepOf(run.task).isLasting) return
     const hasFailedElsewhere = allTasks(run.task.job).some((task) => [...task.avoidedInstances].some((instanceId) => instanceId !== run.instanceId))
--- a/packages/scheduler/src/lib/records/storeKeys.ts
+++ b/packages/scheduler/src/lib/records/storeKeys.ts
@@ -22,7 +22,7 @@
 export const goneKey = (service: string, workerId: WorkerId): string => `inbox/${service}/gone/${workerId}`
 /** Prefix of the lease timers of a service's silent workers. @public */
 export const leaseTimerPrefix = (service: string): string => `lease-timers/${service}/`
-/** Key of a timer for workers that do not answer. The scheduler writes it under a lease of the store; it expires once the workers' leases have expired. @public */
+/** Key of a timer for silent workers. The scheduler writes it under a lease of the store that ends once the workers' leases have expired. @public */
 export const leaseTimerKey = (service: string, timer: string): string => `${leaseTimerPrefix(service)}${timer}`
 /** Key of the list of workers that have runs and do not answer; written only by the scheduler. @public */
 export const silentWorkersKey = (service: string): string => `silent/${service}`
--- a/packages/scheduler/src/lib/workers/LeaseBounds.ts
+++ b/packages/scheduler/src/lib/workers/LeaseBounds.ts
@@ -10,7 +10,7 @@
 export interface LeaseBoundsOptions {
   /** The longest lease that a worker accepts, and the longest time that a stop takes. */
   readonly bounds: () => { readonly maxLeaseMs: number, readonly stopMs: number }
-  /** Knows the leases that previous holders granted. */
+  /** Provides what is recorded about the leases of previous holders. */
   readonly silentWorkers: Pick<SilentWorkers, 'previousLeaseMs' | 'havePreviousLeasesExpired'>
   /** Monotonic time of the takeover, from which leases of previous holders are counted. */
   readonly tookOverMs: number
@@ -39,7 +39,7 @@
     return Math.min(MAX_LEASE_MS, this.#options.bounds().maxLeaseMs * MAX_LEASE_RATIO)
   }
 
-  /** Upper bound, on any clock, of a lease for which the order named a longer time than the worker accepts. */
+  /** Upper bound, on any clock, of a lease that the worker cut to the longest one that it accepts, because the order named a longer one. */
   get longestWorkerLeaseMs (): number {
     return this.#options.bounds().maxLeaseMs / (1 - MAX_CLOCK_DRIFT_RATIO) + this.slackMs
   }
--- a/packages/scheduler/src/lib/workers/SilentWorkers.ts
+++ b/packages/scheduler/src/lib/workers/SilentWorkers.ts
@@ -150,7 +150,7 @@
    * Records workers that are not yet recorded, with one timer for all of them. Calls made while another one is in progress do nothing.
    *
    * @param instanceIds - ids of workers that do not answer
-   * @returns once the record is durable or the attempt has failed
+   * @returns a promise that resolves once the record is durable or the attempt has failed
    */
   async recordSilent (instanceIds: readonly string[]): Promise<void> {
     const newIds = instanceIds.filter((instanceId) => !this.#recorded.has(instanceId))
@@ -169,7 +169,7 @@
    * Removes a worker that answers again from the record.
    *
    * @param instanceId - id of the worker's lifetime
-   * @returns once the removal is durable, or can no longer become durable under this holder
+   * @returns a promise that resolves once the removal is durable, or can no longer become durable under this holder
    */
   async remove (instanceId: string): Promise<void> {
     if (!this.#recorded.has(instanceId)) return
--- a/packages/scheduler/src/lib/workers/WorkerLink.ts
+++ b/packages/scheduler/src/lib/workers/WorkerLink.ts
@@ -18,7 +18,7 @@
   readonly leaseMs: number
   /** Whether the duty is held at this moment; checked right before each start and lease extension. */
   readonly holdsDuty: () => boolean
-  /** Whether the worker may be recorded as silent, so that no lease may be extended: the next holder might count it from an earlier time. */
+  /** Whether the worker may be recorded as silent. Its leases must not be extended then: the next holder waits only for the recorded timer. */
   readonly isRecordedSilent: (link: WorkerLink) => boolean
   /** Removes the record so that leases may be extended; called when the worker answers. Resolves when the removal has succeeded or failed. */
   readonly removeSilentRecord: (link: WorkerLink) => Promise<void>
--- a/packages/scheduler/src/lib/workers/WorkerTracker.ts
+++ b/packages/scheduler/src/lib/workers/WorkerTracker.ts
@@ -1,5 +1,5 @@
 /**
- * Tracks the workers of one service: connects to them when they register, and gives up their runs once their leases have expired.
+ * Tracks the workers of one service: connects to them when they register, and reports their runs as lost once their leases have expired.
  *
  * @module
  */
@@ -207,7 +207,7 @@
     this.#lossHandler.loseExpired(nowMs)
   }
 
-  /** Records the workers that do not answer, for the next holder at a planned handover. @param nowMs - monotonic time */
+  /** Records the workers that do not answer before a planned handover, for the next holder. @param nowMs - monotonic time */
   async recordSilentWorkers (nowMs: number): Promise<void> {
     await this.#options.silentWorkers.whenIdle()
     await this.#options.silentWorkers.recordSilent(this.#silentWorkersWithRuns(HOLD_WAIT_MS + RESPONSE_MARGIN_MS, RESPONSE_MARGIN_MS, nowMs))
